--- a/crates/dewhead-lab/src/plain.rs
+++ b/crates/dewhead-lab/src/plain.rs
@@ -3,7 +3,7 @@
 
 use crate::policy::{Policy, Truths};
 use crate::simulated::Proxy;
-use dewhead::terms::{Effect as Repeat, Group, State, TrafficType};
+use dewhead::types::{Idempotency as Repeat, RepeatScope, ServerState, TrafficType};
 use dewhead_proxy::reducer::{Effect, End, Event, How};
 use dewhead_proxy::wire::answers::{word, Word};
 use dewhead_proxy::wire::head::{opening, Opening};
@@ -263,9 +263,9 @@
             gone.into_iter().for_each(|id| self.lose_node(now, id));
         }
         for ((listed, dial), name) in entries.into_iter().zip(names) {
-            let ready = listed.state == State::Ready || self.fault == Some(Fault::IgnoresDrains);
+            let ready = listed.state == ServerState::Ready || self.fault == Some(Fault::IgnoresDrains);
             match (listed.state, dial) {
-                (State::Gone, _) | (_, None) => self.lose_node(now, listed.id),
+                (ServerState::Gone, _) | (_, None) => self.lose_node(now, listed.id),
                 (_, Some(dial)) => {
                     let held = self.nodes.get(&listed.id).map_or(0, |n| n.held);
                     let node = Node {
@@ -298,16 +298,16 @@
         let session = &self.sessions[key];
         let kind = &self.traffic[session.kind];
         let leaves_group = self.fault == Some(Fault::LeavesTheGroup);
-        let allowed = |node: &Node| match (kind.effect, session.ran) {
+        let allowed = |node: &Node| match (kind.idempotency, session.ran) {
             (Repeat::Repeatable, _) | (_, None) => true,
             (Repeat::OnceOnly, Some(_)) => self.fault == Some(Fault::RepeatsOnceOnly),
             (Repeat::Referenced(_), _) if leaves_group => true,
             (Repeat::Referenced(group), Some((zone, cell, at))) => {
-                now - at < 0.8 * kind.window
+                now - at < 0.8 * kind.repeat_window
                     && match group {
-                        Group::All => true,
-                        Group::Zone => zone == node.zone,
-                        Group::Cell => zone == node.zone && cell == node.cell,
+                        RepeatScope::All => true,
+                        RepeatScope::Zone => zone == node.zone,
+                        RepeatScope::Cell => zone == node.zone && cell == node.cell,
                     }
             }
         };
@@ -452,8 +452,8 @@
     fn give_up(&mut self, now: f64, key: usize) {
         let session = &self.sessions[key];
         let kind = &self.traffic[session.kind];
-        let harmless = match kind.effect {
-            Repeat::Repeatable | Repeat::Referenced(Group::All) => true,
+        let harmless = match kind.idempotency {
+            Repeat::Repeatable | Repeat::Referenced(RepeatScope::All) => true,
             _ => session.ran.is_none() || self.fault == Some(Fault::RejectsWhatRan),
         };
         if self.broken(Fault::LosesCalls) {
@@ -525,10 +525,10 @@
                     }
                     Ok(Opening::Open { wanted, wait, held_at, .. }) => {
                         session.wait = wait;
-                        session.kind = wanted.traffic;
-                        session.until = wanted.until;
-                        session.target = now + self.traffic[wanted.traffic].setup_target;
-                        session.load = wanted.hint.unwrap_or(0.0);
+                        session.kind = wanted.traffic_type;
+                        session.until = wanted.deadline;
+                        session.target = now + self.traffic[wanted.traffic_type].setup_target;
+                        session.load = wanted.load_hint.unwrap_or(0.0);
                         let at =
                             held_at.map(|at| std::str::from_utf8(&session.head[at]).map_or(0, number_of));
                         session.at = at;
--- a/crates/dewhead-proxy/src/guard.rs
+++ b/crates/dewhead-proxy/src/guard.rs
@@ -6,7 +6,7 @@
 
 pub mod cold_start;
 
-use dewhead::terms::{Effect, Group};
+use dewhead::types::{Idempotency, RepeatScope};
 use log::error;
 use std::fmt;
 
@@ -85,7 +85,7 @@
 
 /// What is known before a further attempt. Times are seconds.
 pub struct Repeating {
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// How long a repeat is recognised.
     pub window: f64,
     /// Attempts that are out, and whether two may be.
@@ -151,7 +151,7 @@
     ///
     /// The promise that a further attempt would break; it must not be made.
     pub fn may_repeat(&mut self, facts: &Repeating, who: &dyn fmt::Display) -> Result<(), Violation> {
-        let overlaps = facts.out > 0 && !(facts.two_at_once && facts.effect == Effect::Repeatable);
+        let overlaps = facts.out > 0 && !(facts.two_at_once && facts.effect == Idempotency::Repeatable);
         let unsafely = facts.ran.is_some_and(|ran| !facts.is_known_at(ran));
         let found = match () {
             () if overlaps => Some(Violation::Overlapped),
@@ -183,13 +183,13 @@
     /// Whether the server would know the request for a repeat of the one that was sent there before.
     fn is_known_at(&self, ran: Sent) -> bool {
         match self.effect {
-            Effect::Repeatable => true,
-            Effect::OnceOnly => false,
-            Effect::Referenced(group) => {
+            Idempotency::Repeatable => true,
+            Idempotency::OnceOnly => false,
+            Idempotency::Referenced(group) => {
                 let in_group = match group {
-                    Group::All => true,
-                    Group::Zone => ran.zone == self.to.zone,
-                    Group::Cell => ran.zone == self.to.zone && ran.cell == self.to.cell,
+                    RepeatScope::All => true,
+                    RepeatScope::Zone => ran.zone == self.to.zone,
+                    RepeatScope::Cell => ran.zone == self.to.zone && ran.cell == self.to.cell,
                 };
                 in_group && self.to.at - ran.at < self.window
             }
--- a/crates/dewhead-proxy/src/memory/known.rs
+++ b/crates/dewhead-proxy/src/memory/known.rs
@@ -3,8 +3,8 @@
 
 use super::pace::{Kinds, Pace};
 use crate::wire::listing::Version;
-use dewhead::learned::Learned;
-use dewhead::terms::State;
+use dewhead::snapshot::ServerSnapshot;
+use dewhead::types::ServerState;
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
             self.0.clear();
         }
         for ((host, text), (listed, _)) in version.texts.drain(..).zip(&version.entries) {
-            if listed.state == State::Gone {
+            if listed.state == ServerState::Gone {
                 self.0.remove(&host);
             } else {
                 self.0.insert(host, text);
@@ -42,16 +42,16 @@
     json!([recent, usual, seen, if seen > 0 { now - at } else { 0.0 }])
 }
 
-fn learned(one: &Learned) -> Value {
-    json!({"server": one.server, "started": one.started, "limit": one.limit.map(|l| [l.0, l.1]), "carried": one.carried,
-           "outcomes": one.outcomes, "counted": one.counted, "judged": one.judged})
+fn learned(one: &ServerSnapshot) -> Value {
+    json!({"server": one.server, "started": one.started, "limit": one.limit.map(|l| [l.0, l.1]), "carried": one.peak_load,
+           "outcomes": one.outcomes, "counted": one.outcome_count, "judged": one.last_outcome_age})
 }
 
 /// All of it, as of `now` on the Unix clock.
 pub fn write<'a>(
     now: f64,
     list: Value,
-    balancer: &[Learned],
+    balancer: &[ServerSnapshot],
     paces: impl Iterator<Item = (u64, &'a Pace)>,
     kinds: &Kinds,
 ) -> Value {
@@ -64,7 +64,7 @@
 pub struct Handed {
     pub at: f64,
     pub list: Value,
-    pub servers: Vec<Learned>,
+    pub servers: Vec<ServerSnapshot>,
     pub paces: BTreeMap<u64, (f64, f64, u32, f64)>,
     pub kinds: Vec<(u32, f64)>,
 }
@@ -83,14 +83,14 @@
             Value::Null => None,
             pair => Some((pair[0].as_f64()?, pair[1].as_f64()?)),
         };
-        Some(Learned {
+        Some(ServerSnapshot {
             server: value["server"].as_u64()?,
             started: value["started"].as_f64(),
             limit,
-            carried: value["carried"].as_f64()?,
+            peak_load: value["carried"].as_f64()?,
             outcomes: whole(&value["outcomes"])?,
-            counted: whole(&value["counted"])?,
-            judged: value["judged"].as_f64()?,
+            outcome_count: whole(&value["counted"])?,
+            last_outcome_age: value["judged"].as_f64()?,
         })
     };
     let pace = |(id, value): (&String, &Value)| {
--- a/crates/dewhead-proxy/src/memory/servers.rs
+++ b/crates/dewhead-proxy/src/memory/servers.rs
@@ -2,13 +2,13 @@
 
 use super::pace::Pace;
 use crate::wire::listing::Entry;
-use dewhead::terms::State;
+use dewhead::types::ServerState;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
 pub struct Address {
     pub dial: Option<SocketAddr>,
-    pub state: State,
+    pub state: ServerState,
     pub zone: usize,
     pub cell: u64,
     pub weight: f64,
@@ -38,7 +38,7 @@
             gone.extend(self.0.keys().filter(|id| !named.contains(id)));
         }
         for (listed, dial) in entries {
-            if listed.state == State::Gone {
+            if listed.state == ServerState::Gone {
                 gone.push(listed.id);
                 continue;
             }
--- a/crates/dewhead-proxy/src/memory/sessions.rs
+++ b/crates/dewhead-proxy/src/memory/sessions.rs
@@ -5,7 +5,7 @@
 use crate::guard::Sent;
 use crate::wire::lines::Lines;
 use dewhead::state::Call;
-use dewhead::terms::{Ending, Wanted};
+use dewhead::types::{CallRequest, LegOutcome};
 use std::fmt;
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -52,7 +52,7 @@
     pub asked_at: f64,
     pub unanswered: Option<f64>,
     /// To be moved as soon as the server's present line is through, and how its leg then ends.
-    pub moving: Option<Ending>,
+    pub moving: Option<LegOutcome>,
     /// For greeting, silence and parting, one after the other.
     pub timer: Option<Timer>,
     /// For the call's own wake and for leaving at a stop.
@@ -60,7 +60,7 @@
     /// The first attempt that may have run, as the guard knows it.
     pub ran: Option<Sent>,
     /// For `Returning`: the server that held it before, and what it wants.
-    pub returning: Option<(u64, Wanted)>,
+    pub returning: Option<(u64, CallRequest)>,
 }
 
 /// The client's id of a session, for the log: by it a request is followed through all proxies that it came to.
@@ -117,5 +117,5 @@
     pub asked_at: f64,
     pub timer: Option<Timer>,
     /// The last line said that the server ends the connection: served, or sent away.
-    pub farewell: Option<Ending>,
+    pub farewell: Option<LegOutcome>,
 }
--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -22,7 +22,7 @@
 use crate::wire::http::Answer;
 use crate::wire::listing::Version;
 use dewhead::state::Balancer;
-use dewhead::terms::{Ending, TrafficType};
+use dewhead::types::{LegOutcome, TrafficType};
 use dewhead_startup::{Known, Startup};
 use door::{Asked, Door};
 use log::{debug, info, warn};
@@ -261,7 +261,7 @@
             chance: Rand64::new(seed ^ 1),
             effects: Vec::new(),
         };
-        reducer.balancer.begin(now);
+        reducer.balancer.start(now);
         if !remembered.is_null() {
             let told = Version::told(remembered, &reducer.known.zones);
             reducer.list(now, told, true);
@@ -420,13 +420,13 @@
                     let leg =
                         legs.and_then(|l| l.iter().find(|(n, _)| *n == number as usize)).map(|(_, l)| *l);
                     if let Some(leg) = leg {
-                        self.end_leg(now, leg, Ending::Cancelled, false, How::Broken);
+                        self.end_leg(now, leg, LegOutcome::Cancelled, false, How::Broken);
                     }
                 }
                 Asked::Relocate(call) => {
                     if let Some(key) = self.session_of(call) {
                         debug!("{}: is to be placed anew", self.sessions[key].who());
-                        self.move_away(now, key, Ending::Cancelled);
+                        self.move_away(now, key, LegOutcome::Cancelled);
                     }
                 }
                 Asked::WakeCall(call, at) => {
@@ -459,11 +459,11 @@
 
     fn due(&mut self, now: f64, due: Due) {
         match due {
-            Due::Balancer => self.balancer.woken(now),
+            Due::Balancer => self.balancer.on_timer(now),
             Due::Call(key) => {
                 self.sessions[key].wake = None;
                 if let Some(call) = self.sessions[key].call.clone() {
-                    call.woken(now);
+                    call.on_timer(now);
                 }
             }
             Due::Leg(leg) if self.legs[leg].stage == LegStage::Queued => self.redial(now, leg),
@@ -471,8 +471,8 @@
                 let out = &mut self.legs[leg];
                 out.timer = None;
                 let ending = match out.stage {
-                    LegStage::Connecting => Ending::Unreachable,
-                    _ => Ending::TimedOut,
+                    LegStage::Connecting => LegOutcome::Unreachable,
+                    _ => LegOutcome::TimedOut,
                 };
                 self.leg_failed(now, leg, ending);
             }
@@ -482,7 +482,7 @@
             }
             Due::Leave(key) => {
                 self.sessions[key].wake = None;
-                self.move_away(now, key, Ending::Cancelled);
+                self.move_away(now, key, LegOutcome::Cancelled);
             }
             Due::Watch => {
                 self.watch.timer = None;
--- a/crates/dewhead-proxy/src/reducer/clients.rs
+++ b/crates/dewhead-proxy/src/reducer/clients.rs
@@ -8,7 +8,7 @@
 use crate::wire::head::{opening, Opening};
 use crate::wire::lines::{first, Lines, LONGEST};
 use crate::wire::listing::number_of;
-use dewhead::terms::{Ending, Wanted};
+use dewhead::types::{CallRequest, LegOutcome};
 use log::debug;
 
 /// A client's first line has come by then, whatever it says before: less than the three seconds within which one that
@@ -118,7 +118,7 @@
             Stage::Waiting | Stage::Returning => {
                 // A client waits for its answer; one that does not is not understood.
                 if let Some(call) = session.call.clone() {
-                    call.left();
+                    call.on_client_left();
                 }
                 self.answer(now, key, answers::FAILED.to_vec(), AnswerReason::SpokeEarly);
             }
@@ -185,8 +185,8 @@
                     debug!("{}: is of group {group:x}", session.who());
                 }
                 session.wait = wait;
-                session.traffic = wanted.traffic;
-                let (id, until) = (session.id, wanted.until);
+                session.traffic = wanted.traffic_type;
+                let (id, until) = (session.id, wanted.deadline);
                 debug!("{}: opens, {}", session.who(), String::from_utf8_lossy(&session.head).trim_end());
                 self.loiter_no_more(key);
                 let session = &mut self.sessions[key];
@@ -196,7 +196,7 @@
                         // One that names a server of which nobody knows would else be tried for as long as it likes.
                         let named = self.servers.0.contains_key(&server);
                         let until = until.min(now + if named { PUT_BACK } else { FIRST_LINE });
-                        session.returning = Some((server, Wanted { until, ..wanted }));
+                        session.returning = Some((server, CallRequest { deadline: until, ..wanted }));
                         self.replace_timer(key, None);
                         self.hurry(now, key);
                         let until = self.answered_by.map_or(until, |by| by.min(until));
@@ -205,8 +205,9 @@
                     None => {
                         session.stage = Stage::Waiting;
                         self.replace_timer(key, None);
-                        let until = self.answered_by.map_or(wanted.until, |by| by.min(wanted.until));
-                        let call = self.balancer.take(now, id, Wanted { until, ..wanted });
+                        let until = self.answered_by.map_or(wanted.deadline, |by| by.min(wanted.deadline));
+                        let call =
+                            self.balancer.accept_call(now, id, CallRequest { deadline: until, ..wanted });
                         self.sessions[key].call = Some(call);
                     }
                 }
@@ -229,7 +230,7 @@
             Stage::Greeting | Stage::Parting => {}
             Stage::Waiting | Stage::Returning => {
                 if let Some(call) = session.call.clone() {
-                    call.left();
+                    call.on_client_left();
                 }
             }
             Stage::Standing => {
@@ -237,7 +238,7 @@
                 session.stage = Stage::Parting;
                 if let Some(leg) = leg.filter(|_| how == How::Closed) {
                     // The server's last lines still go through.
-                    self.tell_leg_ended(now, leg, Ending::Cancelled, true);
+                    self.tell_leg_ended(now, leg, LegOutcome::Cancelled, true);
                     self.legs[leg].stage = LegStage::Parting;
                     self.effects.push(Effect::Finish(End::Server(leg)));
                     self.replace_wake(key, None);
--- a/crates/dewhead-proxy/src/reducer/door.rs
+++ b/crates/dewhead-proxy/src/reducer/door.rs
@@ -1,6 +1,6 @@
 //! The door between the balancer and the reducer: what is asked for waits here until the step goes on.
 
-use dewhead::outward::Outward;
+use dewhead::host_interface::BalancerHost;
 use dewhead::refusal::Refusal;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -29,8 +29,8 @@
     }
 }
 
-impl Outward for Door {
-    fn send(&self, call: u64, server: u64, limit: f64) {
+impl BalancerHost for Door {
+    fn send_leg(&self, call: u64, server: u64, limit: f64) {
         self.ask(Asked::Send(call, server, limit));
     }
     fn reject(&self, call: u64, stay_away: Option<f64>) {
@@ -39,29 +39,29 @@
     fn release(&self, call: u64) {
         self.ask(Asked::Release(call));
     }
-    fn refused(&self, call: u64, why: Refusal) {
+    fn note_refusal(&self, call: u64, why: Refusal) {
         self.ask(Asked::Refused(call, why));
     }
-    fn withdraw(&self, call: u64, leg: u32) {
+    fn cancel_leg(&self, call: u64, leg: u32) {
         self.ask(Asked::Withdraw(call, leg));
     }
     fn relocate(&self, call: u64) {
         self.ask(Asked::Relocate(call));
     }
-    fn wake_call(&self, call: u64, at: f64) {
+    fn set_call_timer(&self, call: u64, at: f64) {
         self.ask(Asked::WakeCall(call, at));
     }
-    fn wake(&self, at: f64) {
+    fn set_timer(&self, at: f64) {
         self.ask(Asked::Wake(at));
     }
-    fn follow_list(&self) {
+    fn subscribe_to_list(&self) {
         self.ask(Asked::Follow);
     }
     // Servers on sockets have no word for it.
     fn probe(&self, _: u64) -> bool {
         false
     }
-    fn remark(&self, text: &str) {
+    fn log(&self, text: &str) {
         self.ask(Asked::Remark(text.to_owned()));
     }
 }
--- a/crates/dewhead-proxy/src/reducer/legs.rs
+++ b/crates/dewhead-proxy/src/reducer/legs.rs
@@ -7,22 +7,22 @@
 use crate::memory::sessions::{LegStage, Out, Stage, Who};
 use crate::wire::answers::{self, word, Word};
 use crate::wire::lines::{first, trimmed};
-use dewhead::terms::{Ending, State};
+use dewhead::types::{LegOutcome, ServerState};
 use log::debug;
 
 /// A connection that could not be begun is tried again so many times while it may come up, evenly.
 const REDIALS: f64 = 20.0;
 
-fn ending_name(ending: Ending) -> &'static str {
+fn ending_name(ending: LegOutcome) -> &'static str {
     match ending {
-        Ending::Served => "served",
-        Ending::Error => "error",
-        Ending::Full => "full",
-        Ending::TimedOut => "timed_out",
-        Ending::Unreachable => "unreachable",
-        Ending::Broken => "broken",
-        Ending::Cancelled => "cancelled",
-        Ending::NotSent => "not_sent",
+        LegOutcome::Served => "served",
+        LegOutcome::Error => "error",
+        LegOutcome::Full => "full",
+        LegOutcome::TimedOut => "timed_out",
+        LegOutcome::Unreachable => "unreachable",
+        LegOutcome::Broken => "broken",
+        LegOutcome::Cancelled => "cancelled",
+        LegOutcome::NotSent => "not_sent",
     }
 }
 
@@ -35,7 +35,7 @@
         self.counters.attempts += 1;
         self.counters.retries += u64::from(number > 0);
         if !allowed || !self.dial_as(now, key, server, now + limit, number) {
-            self.tell_ended(now, key, number, Ending::NotSent, false);
+            self.tell_ended(now, key, number, LegOutcome::NotSent, false);
         }
     }
 
@@ -46,8 +46,8 @@
             return true;
         };
         let facts = Repeating {
-            effect: rules.effect,
-            window: rules.window,
+            effect: rules.idempotency,
+            window: rules.repeat_window,
             out: session.legs.len(),
             two_at_once: self.two_at_once,
             ran: session.ran,
@@ -65,7 +65,7 @@
         let facts = Sending {
             client_waits: returning || session.stage == Stage::Waiting,
             in_time: now < out.until,
-            server_ready: server.is_some_and(|s| returning || s.state == State::Ready),
+            server_ready: server.is_some_and(|s| returning || s.state == ServerState::Ready),
         };
         let who = session.who();
         if self.guard.may_send(&facts, &who).is_err() {
@@ -104,7 +104,7 @@
     /// What stands at each location's servers, and the weight of those that are ready.
     fn carried(&self) -> Vec<Carried> {
         let mut locations = vec![Carried { connections: 0, weight: 0.0 }; self.known.zones.len().max(1)];
-        for server in self.servers.0.values().filter(|server| server.state == State::Ready) {
+        for server in self.servers.0.values().filter(|server| server.state == ServerState::Ready) {
             if let Some(location) = locations.get_mut(server.zone) {
                 location.weight += if self.weights_are_sizes { server.weight } else { 1.0 };
             }
@@ -157,7 +157,9 @@
     /// The connection did not come up. Told of one that is up, it has broken, and what went out on it may have run.
     pub(super) fn refused(&mut self, now: f64, leg: usize) {
         match self.legs.get(leg).map(|out| out.stage) {
-            Some(LegStage::Queued | LegStage::Connecting) => self.leg_failed(now, leg, Ending::Unreachable),
+            Some(LegStage::Queued | LegStage::Connecting) => {
+                self.leg_failed(now, leg, LegOutcome::Unreachable)
+            }
             Some(_) => self.server_closed(now, leg, How::Broken),
             None => {}
         }
@@ -179,7 +181,7 @@
         let out = &mut self.legs[leg];
         out.timer = None;
         if now >= out.up_by.min(out.until) {
-            return self.leg_failed(now, leg, Ending::NotSent);
+            return self.leg_failed(now, leg, LegOutcome::NotSent);
         }
         out.stage = LegStage::Connecting;
         out.timer = Some(self.timers.set(out.up_by, Due::Leg(leg)));
@@ -189,7 +191,7 @@
 
     /// A connection that could not be put back is tried again, until its client has waited long enough.
     pub(super) fn again(&mut self, now: f64, key: usize) {
-        let until = self.sessions[key].returning.as_ref().map_or(now, |(_, wanted)| wanted.until);
+        let until = self.sessions[key].returning.as_ref().map_or(now, |(_, wanted)| wanted.deadline);
         if now < until {
             self.replace_timer(key, Some((now + 0.1).min(until)));
         } else {
@@ -203,12 +205,12 @@
         // Dialled before a drain was told, or before its server was gone, started anew or moved, and up after it: such
         // legs were asked all the same, after the grace where connections take longer than that to come up.
         let there = self.servers.0.get(&out.server).is_some_and(|s| s.dial == Some(out.to));
-        let may_go = session.call.as_ref().is_none_or(|call| call.may_go(now, out.number));
+        let may_go = session.call.as_ref().is_none_or(|call| call.may_send_now(now, out.number));
         if !there || !may_go || now >= out.until {
-            return self.leg_failed(now, leg, Ending::NotSent);
+            return self.leg_failed(now, leg, LegOutcome::NotSent);
         }
         if !self.may_send(now, leg) {
-            return self.leg_failed(now, leg, Ending::NotSent);
+            return self.leg_failed(now, leg, LegOutcome::NotSent);
         }
         let out = &self.legs[leg];
         let session = &self.sessions[out.session];
@@ -225,20 +227,20 @@
             LegStage::Queued | LegStage::Connecting => {
                 out.answer.extend_from_slice(bytes);
                 let full = matches!(first(&out.answer), Ok(Some(end)) if word(trimmed(&out.answer[..end])) == Word::Busy);
-                self.leg_failed(now, leg, if full { Ending::Full } else { Ending::Unreachable });
+                self.leg_failed(now, leg, if full { LegOutcome::Full } else { LegOutcome::Unreachable });
             }
             LegStage::Asked => {
                 out.answer.extend_from_slice(bytes);
                 let end = match first(&out.answer) {
                     Ok(Some(end)) => end,
                     Ok(None) => return,
-                    Err(_) => return self.leg_failed(now, leg, Ending::Error),
+                    Err(_) => return self.leg_failed(now, leg, LegOutcome::Error),
                 };
                 match word(trimmed(&out.answer[..end])) {
                     Word::Up => self.up(now, leg),
-                    Word::Busy => self.leg_failed(now, leg, Ending::Full),
-                    Word::Move => self.leg_failed(now, leg, Ending::Cancelled),
-                    _ => self.leg_failed(now, leg, Ending::Error),
+                    Word::Busy => self.leg_failed(now, leg, LegOutcome::Full),
+                    Word::Move => self.leg_failed(now, leg, LegOutcome::Cancelled),
+                    _ => self.leg_failed(now, leg, LegOutcome::Error),
                 }
             }
             LegStage::Standing => self.pass_down(now, leg, bytes),
@@ -260,16 +262,16 @@
         session.head = Vec::new();
         debug!("{}: stands at server {server:x}, {:.3} s after it was asked", session.who(), now - asked_at);
         if let Some((_, wanted)) = session.returning.take() {
-            let call = self.balancer.adopt(now, session.id, wanted, server);
+            let call = self.balancer.adopt_connection(now, session.id, wanted, server);
             session.call = Some(call);
         } else if let Some(call) = &session.call {
-            call.established(now, number);
+            call.on_established(now, number);
         }
         // Others that were out at the same time are called off.
         let (traffic, fresh) = (session.traffic, session.sent > 0);
         let others: Vec<usize> = session.legs.iter().map(|(_, l)| *l).filter(|l| *l != leg).collect();
         for other in others {
-            self.end_leg(now, other, Ending::Cancelled, false, How::Broken);
+            self.end_leg(now, other, LegOutcome::Cancelled, false, How::Broken);
         }
         self.replace_timer(key, None);
         self.replace_wake(key, None);
@@ -293,15 +295,15 @@
         let Some(out) = self.legs.get(leg) else { return };
         let (key, farewell) = (out.session, out.farewell);
         match out.stage {
-            LegStage::Queued | LegStage::Connecting => self.leg_failed(now, leg, Ending::Unreachable),
-            LegStage::Asked => self.leg_failed(now, leg, Ending::Broken),
+            LegStage::Queued | LegStage::Connecting => self.leg_failed(now, leg, LegOutcome::Unreachable),
+            LegStage::Asked => self.leg_failed(now, leg, LegOutcome::Broken),
             LegStage::Parting => self.close_all(now, key, How::Closed, CloseReason::ServerEnded),
             LegStage::Standing => {
                 if farewell.is_none() && self.sessions[key].down.between() {
                     // Lost without a word: its client comes again sooner when told to than when cut off.
-                    return self.move_away(now, key, Ending::Broken);
+                    return self.move_away(now, key, LegOutcome::Broken);
                 }
-                let ending = farewell.unwrap_or(Ending::Broken);
+                let ending = farewell.unwrap_or(LegOutcome::Broken);
                 self.end_leg(now, leg, ending, true, how);
                 self.part(now, key);
                 match how {
@@ -313,7 +315,7 @@
     }
 
     /// A leg that brought no connection.
-    pub(super) fn leg_failed(&mut self, now: f64, leg: usize, ending: Ending) {
+    pub(super) fn leg_failed(&mut self, now: f64, leg: usize, ending: LegOutcome) {
         let Some(out) = self.legs.get(leg) else { return };
         let key = out.session;
         let returning = self.sessions[key].stage == Stage::Returning;
@@ -323,13 +325,13 @@
         }
     }
 
-    pub(super) fn tell_ended(&mut self, now: f64, key: usize, number: usize, ending: Ending, last: bool) {
+    pub(super) fn tell_ended(&mut self, now: f64, key: usize, number: usize, ending: LegOutcome, last: bool) {
         if let Some(call) = self.sessions[key].call.clone() {
-            call.ended(now, number, ending, last);
+            call.on_leg_ended(now, number, ending, last);
         }
     }
 
-    pub(super) fn tell_leg_ended(&mut self, now: f64, leg: usize, ending: Ending, last: bool) {
+    pub(super) fn tell_leg_ended(&mut self, now: f64, leg: usize, ending: LegOutcome, last: bool) {
         let (key, number) = (self.legs[leg].session, self.legs[leg].number);
         if self.legs[leg].stage != LegStage::Parting {
             self.tell_ended(now, key, number, ending, last);
@@ -337,12 +339,12 @@
     }
 
     /// The one place where a leg is given back, with its timer, its buffer and its socket.
-    pub(super) fn end_leg(&mut self, now: f64, leg: usize, ending: Ending, last: bool, how: How) {
+    pub(super) fn end_leg(&mut self, now: f64, leg: usize, ending: LegOutcome, last: bool, how: How) {
         self.tell_leg_ended(now, leg, ending, last);
         let out = self.legs.remove(leg);
         self.counters.endings.count(ending_name(ending));
         let session = &mut self.sessions[out.session];
-        if out.stage == LegStage::Asked && !matches!(ending, Ending::Full | Ending::NotSent) {
+        if out.stage == LegStage::Asked && !matches!(ending, LegOutcome::Full | LegOutcome::NotSent) {
             if let Some(server) = self.servers.0.get(&out.server) {
                 session.ran.get_or_insert(Sent { at: out.asked_at, zone: server.zone, cell: server.cell });
             }
@@ -359,7 +361,7 @@
 
     pub(super) fn end_legs(&mut self, now: f64, key: usize, how: How) {
         while let Some((_, leg)) = self.sessions[key].legs.first().copied() {
-            self.end_leg(now, leg, Ending::Cancelled, true, how);
+            self.end_leg(now, leg, LegOutcome::Cancelled, true, how);
         }
     }
 }
--- a/crates/dewhead-proxy/src/reducer/standing.rs
+++ b/crates/dewhead-proxy/src/reducer/standing.rs
@@ -4,7 +4,7 @@
 use crate::memory::counters::{AnswerReason, CloseReason};
 use crate::memory::sessions::Stage;
 use crate::wire::answers::{self, word, Word};
-use dewhead::terms::Ending;
+use dewhead::types::LegOutcome;
 use log::{debug, trace};
 
 impl Reducer {
@@ -35,10 +35,10 @@
         session.down.feed(bytes, |line, _| match word(line) {
             Word::Load(load) => {
                 trace!("{}: loads server {:x} with {load}", who, out.server);
-                call.load_is(now, out.number, load);
+                call.on_load(now, out.number, load);
             }
-            Word::Bye => out.farewell = Some(Ending::Served),
-            Word::Move => out.farewell = Some(Ending::Cancelled),
+            Word::Bye => out.farewell = Some(LegOutcome::Served),
+            Word::Move => out.farewell = Some(LegOutcome::Cancelled),
             _ => {
                 if let Some(since) = unanswered.take() {
                     slowest = Some(now - since);
@@ -69,13 +69,13 @@
             server.slow = slow;
             debug!("messages at server {:x} take {took:.3} s", out.server);
             if let Some(call) = &self.sessions[out.session].call {
-                call.messages_take(now, out.number, took);
+                call.on_message_delay(now, out.number, took);
             }
         }
     }
 
     /// Sends a standing client away politely, as soon as it is between two lines.
-    pub(super) fn move_away(&mut self, now: f64, key: usize, ending: Ending) {
+    pub(super) fn move_away(&mut self, now: f64, key: usize, ending: LegOutcome) {
         let session = &mut self.sessions[key];
         let Some((_, leg)) = session.legs.first().copied().filter(|_| session.stage == Stage::Standing)
         else {
@@ -100,7 +100,7 @@
             Stage::Waiting => {}
             Stage::Returning => {
                 if let Some((server, wanted)) = &session.returning {
-                    let (server, until) = (*server, wanted.until);
+                    let (server, until) = (*server, wanted.deadline);
                     if now < until {
                         self.dial(now, key, server, until);
                     } else {
@@ -117,7 +117,7 @@
                     self.answer(now, key, Vec::new(), AnswerReason::LineNeverEnded);
                 }
                 (None, Some(since)) if now - since >= MOST_SILENT - 1e-3 => {
-                    self.move_away(now, key, Ending::Broken);
+                    self.move_away(now, key, LegOutcome::Broken);
                 }
                 (None, Some(since)) => self.replace_timer(key, Some(since + MOST_SILENT)),
                 (None, None) => {}
--- a/crates/dewhead-proxy/src/reducer/status.rs
+++ b/crates/dewhead-proxy/src/reducer/status.rs
@@ -4,7 +4,7 @@
 use crate::guard::Violation;
 use crate::memory::counters::CloseReason;
 use crate::memory::sessions::Stage;
-use dewhead::terms::State;
+use dewhead::types::ServerState;
 use log::info;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -38,12 +38,12 @@
         for (_, leg) in &self.legs {
             *held.entry(leg.server).or_default() += 1;
         }
-        let ready = self.servers.0.values().filter(|s| s.state == State::Ready).count();
+        let ready = self.servers.0.values().filter(|s| s.state == ServerState::Ready).count();
         let servers = self.servers.0.iter().map(|(id, server)| {
             let state = match server.state {
-                State::Ready => "ready",
-                State::Draining => "draining",
-                State::Gone => "gone",
+                ServerState::Ready => "ready",
+                ServerState::Draining => "draining",
+                ServerState::Gone => "gone",
             };
             json!({"server": id, "at": server.dial.map(|d| d.to_string()), "state": state,
                    "connections": held.get(id).copied().unwrap_or(0)})
--- a/crates/dewhead-proxy/src/reducer/stopping.rs
+++ b/crates/dewhead-proxy/src/reducer/stopping.rs
@@ -2,7 +2,7 @@
 
 use super::{Due, Reducer, STILL_COMING};
 use crate::memory::sessions::{LegStage, Stage};
-use dewhead::terms::Ending;
+use dewhead::types::LegOutcome;
 use log::info;
 
 /// A process that is told to stop is let live for the longest guard time, but no more than this, and 0.7 s.
@@ -52,13 +52,13 @@
             Stage::Waiting => {}
             Stage::Returning => {
                 if let Some((_, wanted)) = &mut session.returning {
-                    wanted.until = wanted.until.min(by);
+                    wanted.deadline = wanted.deadline.min(by);
                 }
             }
             _ => return,
         }
         if let Some(call) = &session.call {
-            call.hurry(by);
+            call.limit_deadline(by);
         }
         let legs: Vec<usize> = session.legs.iter().map(|(_, leg)| *leg).collect();
         for leg in legs {
@@ -82,7 +82,7 @@
     /// Who still stands is told to move while there is time to read it.
     pub(super) fn say_last_word(&mut self, now: f64) {
         for key in self.standing() {
-            self.move_away(now, key, Ending::Cancelled);
+            self.move_away(now, key, LegOutcome::Cancelled);
         }
     }
 
--- a/crates/dewhead-proxy/src/reducer/succession.rs
+++ b/crates/dewhead-proxy/src/reducer/succession.rs
@@ -14,7 +14,7 @@
     pub fn hand_on(&self, now: f64) -> Value {
         let list = self.watch.entries.list(self.watch.version);
         let paces = self.servers.0.iter().map(|(id, server)| (*id, &server.pace));
-        known::write(now, list, &self.balancer.learned(now), paces, &self.kinds)
+        known::write(now, list, &self.balancer.snapshot(now), paces, &self.kinds)
     }
 
     /// Takes up what another process has learned: of servers that are listed and have not started anew.
@@ -23,7 +23,7 @@
         if ago > USE * self.longest_guard {
             return info!("what was handed on is {ago:.0} s old and left aside");
         }
-        let recalled = self.balancer.recall(now, ago, &handed.servers);
+        let recalled = self.balancer.restore(now, ago, &handed.servers);
         for (id, (recent, usual, seen, since)) in &handed.paces {
             if let Some(server) = self.servers.0.get_mut(id) {
                 server.pace = Pace::recall(now, (*recent, *usual, *seen, since + ago));
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -6,7 +6,7 @@
 use crate::memory::timers::Timer;
 use crate::wire::http::{Answer, TOO_LONG, TURNED_AWAY};
 use crate::wire::listing::Version;
-use dewhead::terms::{Ending, News, State};
+use dewhead::types::{LegOutcome, ListUpdate, ServerState};
 use dewhead_startup::fields::Outcome;
 use log::{debug, warn};
 use std::net::SocketAddr;
@@ -158,8 +158,8 @@
             warn!("discovery: version {version} for {}, which was held: it counts anew", self.watch.version);
             for (listed, _) in &mut told.entries {
                 let held = self.servers.0.get(&listed.id);
-                if held.is_some_and(|h| h.state == State::Draining && h.started == listed.started) {
-                    listed.state = State::Draining;
+                if held.is_some_and(|h| h.state == ServerState::Draining && h.started == listed.started) {
+                    listed.state = ServerState::Draining;
                 }
             }
         }
@@ -180,12 +180,12 @@
             }
         }
         let news = match () {
-            () if remembered => News::Remembered,
-            () if whole => News::Whole,
-            () => News::Changes,
+            () if remembered => ListUpdate::Cached,
+            () if whole => ListUpdate::Full,
+            () => ListUpdate::Delta,
         };
         let listed: Vec<_> = told.entries.into_iter().map(|(listed, _)| listed).collect();
-        self.balancer.list(now, news, &listed);
+        self.balancer.on_list_update(now, news, &listed);
         if !remembered {
             self.confirm(now);
         }
@@ -194,7 +194,7 @@
             let lost = |l: &Out| l.stage == LegStage::Standing && gone.contains(&l.server);
             let keys: Vec<usize> =
                 self.legs.iter().filter(|(_, l)| lost(l)).map(|(_, l)| l.session).collect();
-            keys.into_iter().for_each(|key| self.move_away(now, key, Ending::Broken));
+            keys.into_iter().for_each(|key| self.move_away(now, key, LegOutcome::Broken));
         }
         true
     }
--- a/crates/dewhead-proxy/src/wire/head.rs
+++ b/crates/dewhead-proxy/src/wire/head.rs
@@ -1,6 +1,6 @@
 //! The line that a client's connection begins with.
 
-use dewhead::terms::Wanted;
+use dewhead::types::CallRequest;
 use dewhead_startup::Known;
 use std::ops::Range;
 
@@ -14,7 +14,7 @@
     Open {
         /// The client's name for its request.
         id: u64,
-        wanted: Wanted,
+        wanted: CallRequest,
         /// Where the client's waiting time stands.
         wait: Range<usize>,
         /// Where the name of the server stands that holds the connection already.
@@ -50,8 +50,13 @@
     if parts.next().is_some() {
         return Err("not four words");
     }
-    let mut wanted =
-        Wanted { traffic: usize::MAX, shop: None, until: now + longest, hint: None, group: None };
+    let mut wanted = CallRequest {
+        traffic_type: usize::MAX,
+        tenant: None,
+        deadline: now + longest,
+        load_hint: None,
+        group: None,
+    };
     let (mut wait, mut held_at, mut seen) = (0..0, None, [false; NAMES.len()]);
     // The list is the line's last word.
     let mut at = text.len() - list.len();
@@ -65,11 +70,11 @@
             }
         }
         match name {
-            "c" => wanted.traffic = place_of(value, &known.traffic).ok_or("an unknown traffic type")?,
-            "t" => wanted.shop = Some(place_of(value, &known.shops).ok_or("an unknown shop")?),
+            "c" => wanted.traffic_type = place_of(value, &known.traffic).ok_or("an unknown traffic type")?,
+            "t" => wanted.tenant = Some(place_of(value, &known.shops).ok_or("an unknown shop")?),
             "d" => {
                 let within = figure(value).filter(|ms| *ms > 0.0 && *ms <= f64::from(u32::MAX));
-                wanted.until = now + within.ok_or("a waiting time that is no number")? / 1000.0;
+                wanted.deadline = now + within.ok_or("a waiting time that is no number")? / 1000.0;
                 wait = place;
             }
             "g" => {
@@ -77,14 +82,14 @@
                 wanted.group = Some(group).filter(|_| groups);
             }
             // Microseconds of work a second, as LOAD has it.
-            "h" => wanted.hint = Some(figure(value).ok_or("a load that is no number")? / 1e6),
+            "h" => wanted.load_hint = Some(figure(value).ok_or("a load that is no number")? / 1e6),
             "r" | "again" if !["0", "1"].contains(&value) => return Err("a mark that is neither 0 nor 1"),
             "at" if value.is_empty() => return Err("no server named"),
             "at" => held_at = Some(place),
             _ => {}
         }
     }
-    match wanted.traffic {
+    match wanted.traffic_type {
         usize::MAX => Err("no traffic type"),
         _ if wait.is_empty() => Err("no waiting time"),
         _ => Ok(Opening::Open { id, wanted, wait, held_at }),
--- a/crates/dewhead-proxy/src/wire/listing.rs
+++ b/crates/dewhead-proxy/src/wire/listing.rs
@@ -1,6 +1,6 @@
 //! The list of servers as discovery writes it.
 
-use dewhead::terms::{Listed, State};
+use dewhead::types::{ServerEntry, ServerState};
 use dewhead_startup::fields::{array, field, maybe, number, place_in, text, truth, whole, wrong, Outcome};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -16,7 +16,7 @@
 }
 
 /// An entry, with where to reach the server.
-pub type Entry = (Listed, Option<SocketAddr>);
+pub type Entry = (ServerEntry, Option<SocketAddr>);
 
 /// One version of the list, as it was written.
 #[derive(Deserialize)]
@@ -77,18 +77,18 @@
 
 fn entry(one: &Value, zones: &[String]) -> Outcome<Entry> {
     let state = match text(one, "health")? {
-        "ready" => State::Ready,
-        "draining" => State::Draining,
-        "gone" => State::Gone,
+        "ready" => ServerState::Ready,
+        "draining" => ServerState::Draining,
+        "gone" => ServerState::Gone,
         other => return Err(format!("field 'health' names unknown '{other}'")),
     };
     let dial =
         maybe(one, "dial", text)?.map(|d| d.parse().map_err(|_| wrong("dial", "an address with a port")));
     let dial = dial.transpose()?;
-    if dial.is_none() && state != State::Gone {
+    if dial.is_none() && state != ServerState::Gone {
         field(one, "dial")?;
     }
-    let listed = Listed {
+    let listed = ServerEntry {
         id: number_of(text(one, "host")?),
         zone: place_in(one, "site", zones)?,
         cell: maybe(one, "block", whole)?.unwrap_or(0),
--- a/crates/dewhead-proxy/tests/guard.rs
+++ b/crates/dewhead-proxy/tests/guard.rs
@@ -1,6 +1,6 @@
 //! The guard finds each broken promise, and lets what is allowed go.
 
-use dewhead::terms::{Effect, Group};
+use dewhead::types::{Idempotency, RepeatScope};
 use dewhead_proxy::guard::cold_start::{Carried, ColdStartLimit};
 use dewhead_proxy::guard::{Guard, Owed, Repeating, Sending, Sent, Violation};
 use dewhead_startup::SlowStartTerms;
@@ -8,7 +8,7 @@
 const SENT: Sent = Sent { at: 100.0, zone: 1, cell: 4 };
 const SOUND: Sending = Sending { client_waits: true, in_time: true, server_ready: true };
 
-fn repeating(effect: Effect, ran: Option<Sent>, to: Sent) -> Repeating {
+fn repeating(effect: Idempotency, ran: Option<Sent>, to: Sent) -> Repeating {
     Repeating { effect, window: 2.0, out: 0, two_at_once: false, ran, to }
 }
 
@@ -31,19 +31,19 @@
 fn a_repeat_needs_an_effect_a_group_and_a_window_that_bear_it() {
     let (later, too_late) = (Sent { at: 101.9, ..SENT }, Sent { at: 102.0, ..SENT });
     let (cell, zone) = (Sent { cell: 5, ..later }, Sent { zone: 2, ..later });
-    let of = |group| Effect::Referenced(group);
+    let of = |group| Idempotency::Referenced(group);
     let mut guard = Guard::default();
     for (effect, ran, to, allowed) in [
-        (Effect::OnceOnly, None, later, true),
-        (Effect::OnceOnly, Some(SENT), later, false),
-        (Effect::Repeatable, Some(SENT), too_late, true),
-        (of(Group::Cell), Some(SENT), later, true),
-        (of(Group::Cell), Some(SENT), cell, false),
-        (of(Group::Cell), Some(SENT), zone, false),
-        (of(Group::Zone), Some(SENT), cell, true),
-        (of(Group::Zone), Some(SENT), zone, false),
-        (of(Group::All), Some(SENT), zone, true),
-        (of(Group::All), Some(SENT), too_late, false),
+        (Idempotency::OnceOnly, None, later, true),
+        (Idempotency::OnceOnly, Some(SENT), later, false),
+        (Idempotency::Repeatable, Some(SENT), too_late, true),
+        (of(RepeatScope::Cell), Some(SENT), later, true),
+        (of(RepeatScope::Cell), Some(SENT), cell, false),
+        (of(RepeatScope::Cell), Some(SENT), zone, false),
+        (of(RepeatScope::Zone), Some(SENT), cell, true),
+        (of(RepeatScope::Zone), Some(SENT), zone, false),
+        (of(RepeatScope::All), Some(SENT), zone, true),
+        (of(RepeatScope::All), Some(SENT), too_late, false),
     ] {
         let outcome = guard.may_repeat(&repeating(effect, ran, to), &"request");
         let wanted = if allowed { Ok(()) } else { Err(Violation::RepeatedUnsafely) };
@@ -55,10 +55,10 @@
 fn attempts_overlap_only_where_that_is_allowed() {
     let mut guard = Guard::default();
     for (effect, two_at_once, allowed) in [
-        (Effect::Repeatable, true, true),
-        (Effect::Repeatable, false, false),
-        (Effect::OnceOnly, true, false),
-        (Effect::Referenced(Group::All), true, false),
+        (Idempotency::Repeatable, true, true),
+        (Idempotency::Repeatable, false, false),
+        (Idempotency::OnceOnly, true, false),
+        (Idempotency::Referenced(RepeatScope::All), true, false),
     ] {
         let facts = Repeating { out: 1, two_at_once, ..repeating(effect, None, SENT) };
         let wanted = if allowed { Ok(()) } else { Err(Violation::Overlapped) };
--- a/crates/dewhead-proxy/tests/wire.rs
+++ b/crates/dewhead-proxy/tests/wire.rs
@@ -61,9 +61,9 @@
         b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=order,t=shop-b,d=2000,g=0000000000000001,h=19461.105\r\n";
     match opening(line, 10.0, 3.0, &startup.known, true) {
         Ok(Opening::Open { id, wanted, wait, held_at }) => {
-            assert_eq!(word(b"LOAD 19461.105"), Word::Load(wanted.hint.unwrap()));
+            assert_eq!(word(b"LOAD 19461.105"), Word::Load(wanted.load_hint.unwrap()));
             assert_eq!(
-                (wanted.traffic, wanted.shop, wanted.group, wanted.until),
+                (wanted.traffic_type, wanted.tenant, wanted.group, wanted.deadline),
                 (1, Some(1), Some(1), 12.0)
             );
             assert_eq!((&line[wait], held_at), (&b"2000"[..], None));
--- a/crates/dewhead-startup/src/lib.rs
+++ b/crates/dewhead-startup/src/lib.rs
@@ -4,9 +4,9 @@
 pub mod fields;
 pub mod shape;
 
-use dewhead::outward::Outward;
-use dewhead::state::{Balancer, Legs, Place, Shares, SlowStart, Watch};
-use dewhead::terms::{Effect, Group, Shop, TrafficType};
+use dewhead::host_interface::BalancerHost;
+use dewhead::state::{Balancer, LegPolicy, ListSubscription, Locality, SlowStart, TenantShares};
+use dewhead::types::{Idempotency, RepeatScope, Tenant, TrafficType};
 use fields::{array, field, maybe, names, number, place_in, seconds, text, truth, whole, Outcome};
 use serde_json::Value;
 use std::rc::Rc;
@@ -53,14 +53,14 @@
     position: usize,
     siblings: usize,
     traffic: Vec<TrafficType>,
-    shops: Vec<Shop>,
+    shops: Vec<Tenant>,
     beyond: f64,
     deemed_after: f64,
     home: usize,
     crossing: f64,
     moving: f64,
     slow_start: SlowStart,
-    legs: Legs,
+    legs: LegPolicy,
     live: bool,
     /// Whether servers tell their load when probed, where the host has a word for it.
     pub probes: bool,
@@ -78,8 +78,8 @@
             let setup_target = seconds(one, "setupTarget")?;
             let message = messages.and_then(|m| m.get(at)).and_then(Value::as_f64).map(|ms| ms / 1000.0);
             traffic.push(TrafficType {
-                effect: effect(one)?,
-                window: maybe(one, "repeatWindow", seconds)?.unwrap_or(0.0),
+                idempotency: effect(one)?,
+                repeat_window: maybe(one, "repeatWindow", seconds)?.unwrap_or(0.0),
                 setup_target,
                 message_target: message.unwrap_or(setup_target),
                 guard_time: seconds(one, "guardTime")?,
@@ -91,7 +91,7 @@
         let quotas = maybe(nature, "tenantQuotaConnections", array)?;
         let shop = |(at, one): (usize, &Value)| {
             let standing = quotas.and_then(|q| q.get(at)).and_then(Value::as_f64).unwrap_or(0.0);
-            Ok(Shop { share: number(one, "share")?, standing })
+            Ok(Tenant { share: number(one, "share")?, quota_connections: standing })
         };
         let feedback = field(told, "feedback")?;
         let reported = text(feedback, "how")? != "off";
@@ -101,15 +101,15 @@
             cold_share: number(rules, "coldShare")?,
             // Warm at once is a warm-up of no time; times are divided by it.
             warm_after: seconds(rules, "cold")?.max(1e-3),
-            multiple: number(rules, "fallMultiple")?,
+            overload_multiple: number(rules, "fallMultiple")?,
             window: seconds(rules, "tipAfter")?,
         };
         let stays_away = truth(limits, "retryAfter")?;
-        let legs = Legs {
-            most: whole(limits, "mostLegs")?.min(64) as u32,
+        let legs = LegPolicy {
+            max_legs: whole(limits, "mostLegs")?.min(64) as u32,
             two_at_once: truth(limits, "secondCopies")?,
-            may_withdraw: truth(limits, "cancel")?,
-            stay_away: if stays_away { Some(seconds(limits, "maxRetryAfter")?) } else { None },
+            may_cancel: truth(limits, "cancel")?,
+            max_retry_after: if stays_away { Some(seconds(limits, "maxRetryAfter")?) } else { None },
         };
         let named = |list: &[Value]| -> Outcome<Vec<String>> {
             list.iter().map(|one| text(one, "name").map(str::to_owned)).collect()
@@ -151,10 +151,10 @@
         SlowStartTerms {
             cold_share: self.slow_start.cold_share,
             warm_after: self.slow_start.warm_after,
-            multiple: self.slow_start.multiple,
+            multiple: self.slow_start.overload_multiple,
             window: self.slow_start.window,
             proxies: self.siblings.max(1) as f64,
-            agreed: self.shops.iter().map(|shop| shop.standing).sum(),
+            agreed: self.shops.iter().map(|shop| shop.quota_connections).sum(),
             weights_are_sizes: !self.live,
         }
     }
@@ -170,16 +170,16 @@
     }
 
     /// The balancer that these settings describe, and the names its host needs.
-    pub fn balancer(self, seed: u128, door: Rc<dyn Outward>) -> (Rc<Balancer>, Known) {
+    pub fn balancer(self, seed: u128, door: Rc<dyn BalancerHost>) -> (Rc<Balancer>, Known) {
         let balancer = Balancer::new(
             seed,
             door,
             self.position,
             self.siblings,
             self.traffic,
-            Shares::new(self.shops, self.beyond),
-            Watch::new(self.must_ask, self.deemed_after),
-            Place::new(self.home, self.crossing, self.moving),
+            TenantShares::new(self.shops, self.beyond),
+            ListSubscription::new(self.must_ask, self.deemed_after),
+            Locality::new(self.home, self.crossing, self.moving),
             self.known.zones.len(),
             self.slow_start,
             self.legs,
@@ -191,14 +191,14 @@
     }
 }
 
-fn effect(of: &Value) -> Outcome<Effect> {
+fn effect(of: &Value) -> Outcome<Idempotency> {
     Ok(match text(of, "idempotency")? {
-        "retryable" => Effect::Repeatable,
-        "fragile" => Effect::OnceOnly,
-        "dedup" => Effect::Referenced(match text(of, "keyScope")? {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
+        "retryable" => Idempotency::Repeatable,
+        "fragile" => Idempotency::OnceOnly,
+        "dedup" => Idempotency::Referenced(match text(of, "keyScope")? {
+            "all" => RepeatScope::All,
+            "zone" => RepeatScope::Zone,
+            "cell" => RepeatScope::Cell,
             other => return Err(format!("field 'keyScope' names unknown '{other}'")),
         }),
         other => return Err(format!("field 'idempotency' names unknown '{other}'")),
--- a/crates/dewhead-wirehost/src/door.rs
+++ b/crates/dewhead-wirehost/src/door.rs
@@ -1,6 +1,6 @@
 //! What a balancer asks for, written as the wire's actions.
 
-use dewhead::outward::Outward;
+use dewhead::host_interface::BalancerHost;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -44,8 +44,8 @@
     }
 }
 
-impl Outward for Door {
-    fn send(&self, call: u64, server: u64, limit: f64) {
+impl BalancerHost for Door {
+    fn send_leg(&self, call: u64, server: u64, limit: f64) {
         let limit = limit * 1000.0;
         self.action(
             "CALL_OUT",
@@ -62,7 +62,7 @@
         self.action("GIVE_UP", format_args!(",\"txn\":\"{call:016x}\""));
     }
 
-    fn withdraw(&self, call: u64, leg: u32) {
+    fn cancel_leg(&self, call: u64, leg: u32) {
         self.action("WITHDRAW", format_args!(",\"txn\":\"{call:016x}\",\"roundNo\":{leg}"));
     }
 
@@ -70,15 +70,15 @@
         self.action("RELOCATE", format_args!(",\"txn\":\"{call:016x}\""));
     }
 
-    fn wake_call(&self, call: u64, at: f64) {
+    fn set_call_timer(&self, call: u64, at: f64) {
         self.timer(at, Some(call));
     }
 
-    fn wake(&self, at: f64) {
+    fn set_timer(&self, at: f64) {
         self.timer(at, None);
     }
 
-    fn follow_list(&self) {
+    fn subscribe_to_list(&self) {
         self.action("KEEP_INFORMED", format_args!(",\"active\":true"));
     }
 
@@ -87,7 +87,7 @@
         true
     }
 
-    fn remark(&self, text: &str) {
+    fn log(&self, text: &str) {
         let text = serde_json::Value::from(text);
         self.action("TRACE", format_args!(",\"reasonText\":{text}"));
     }
--- a/crates/dewhead-wirehost/src/host.rs
+++ b/crates/dewhead-wirehost/src/host.rs
@@ -2,7 +2,7 @@
 
 use crate::door::{Door, Output};
 use dewhead::state::{Balancer, Call};
-use dewhead::terms::{Ending, Listed, News, State, Wanted};
+use dewhead::types::{CallRequest, LegOutcome, ListUpdate, ServerEntry, ServerState};
 use dewhead_startup::fields::{
     array, field, maybe, number, place_in, seconds, text, truth, whole, wrong, Outcome,
 };
@@ -44,10 +44,10 @@
     decoded: RefCell<Option<Decoded>>,
 }
 
-type Decoded = (Vec<String>, Rc<Vec<Listed>>);
+type Decoded = (Vec<String>, Rc<Vec<ServerEntry>>);
 
 impl List {
-    fn entries(&self, zones: &[String]) -> Outcome<Rc<Vec<Listed>>> {
+    fn entries(&self, zones: &[String]) -> Outcome<Rc<Vec<ServerEntry>>> {
         if let Some((_, entries)) = self.decoded.borrow().as_ref().filter(|(by, _)| by == zones) {
             return Ok(entries.clone());
         }
@@ -58,15 +58,15 @@
     }
 }
 
-fn entry(row: &Value, zones: &[String]) -> Outcome<Listed> {
-    Ok(Listed {
+fn entry(row: &Value, zones: &[String]) -> Outcome<ServerEntry> {
+    Ok(ServerEntry {
         id: server_id(row)?,
         zone: place_in(row, "rackZone", zones)?,
         cell: maybe(row, "block", whole)?.unwrap_or(0),
         state: match text(row, "mode")? {
-            "Ready" => State::Ready,
-            "Terminating" => State::Draining,
-            "Gone" => State::Gone,
+            "Ready" => ServerState::Ready,
+            "Terminating" => ServerState::Draining,
+            "Gone" => ServerState::Gone,
             other => return Err(format!("field 'mode' names unknown '{other}'")),
         },
         weight: maybe(row, "size", number)?.unwrap_or(1.0),
@@ -141,17 +141,17 @@
         let door = Rc::new(Door::new(who, output));
         let asked_field = startup.asked_field;
         let (balancer, known) = startup.balancer(seed, door.clone());
-        balancer.begin(now);
+        balancer.start(now);
         Ok(Instance { door, balancer, known, asked_field, calls: HashMap::new(), echoes: VecDeque::new() })
     }
 
     fn list(&self, now: f64, of: &Value, lists: &HashMap<u64, List>) -> Outcome<()> {
         let news = match text(of, "form")? {
-            "delta" => News::Changes,
-            "full" => News::Whole,
-            "cached" => News::Remembered,
+            "delta" => ListUpdate::Delta,
+            "full" => ListUpdate::Full,
+            "cached" => ListUpdate::Cached,
             "failed" => {
-                self.balancer.list(now, News::Failed, &[]);
+                self.balancer.on_list_update(now, ListUpdate::Failed, &[]);
                 return Ok(());
             }
             other => return Err(format!("field 'form' names unknown '{other}'")),
@@ -159,7 +159,7 @@
         let slot = whole(of, "slot")?;
         let list = lists.get(&slot).ok_or_else(|| format!("field 'slot' names unknown list {slot}"))?;
         let entries = list.entries(&self.known.zones)?;
-        self.balancer.list(now, news, &entries);
+        self.balancer.on_list_update(now, news, &entries);
         Ok(())
     }
 
@@ -168,20 +168,20 @@
         match name {
             "INGRESS" | "ALREADY_OPEN" => {
                 let id = call_id(of)?;
-                let wanted = Wanted {
-                    traffic: place_in(of, "band", &self.known.traffic)?,
-                    shop: match of.get("org") {
+                let wanted = CallRequest {
+                    traffic_type: place_in(of, "band", &self.known.traffic)?,
+                    tenant: match of.get("org") {
                         Some(Value::String(_)) => Some(place_in(of, "org", &self.known.shops)?),
                         _ => None,
                     },
-                    until: seconds(of, "deadline")?,
+                    deadline: seconds(of, "deadline")?,
                     // Milliseconds of work a second.
-                    hint: maybe(of, "costGuess", seconds)?,
+                    load_hint: maybe(of, "costGuess", seconds)?,
                     group: maybe(of, "teamId", whole)?,
                 };
                 let call = match name {
-                    "INGRESS" => self.balancer.take(now, id, wanted),
-                    _ => self.balancer.adopt(now, id, wanted, server_id(of)?),
+                    "INGRESS" => self.balancer.accept_call(now, id, wanted),
+                    _ => self.balancer.adopt_connection(now, id, wanted, server_id(of)?),
                 };
                 self.calls.insert(id, call);
                 self.settle(wall, id);
@@ -189,19 +189,19 @@
             "FIRST_BYTE" => {
                 let leg = whole(of, "roundNo")? as usize;
                 self.with_call(wall, of, |call| {
-                    call.established(now, leg);
+                    call.on_established(now, leg);
                     Ok(())
                 })?;
             }
             "VANISHED" => self.with_call(wall, of, |call| {
-                call.left();
+                call.on_client_left();
                 Ok(())
             })?,
             "INTERIM" => self.with_call(wall, of, |call| {
                 let (leg, amount) = (whole(of, "roundNo")? as usize, number(of, "amount")?);
                 match whole(of, "kind")? {
-                    1 => call.load_is(now, leg, amount / 1e6),
-                    2 => call.messages_take(now, leg, amount / 1000.0),
+                    1 => call.on_load(now, leg, amount / 1e6),
+                    2 => call.on_message_delay(now, leg, amount / 1000.0),
                     _ => {}
                 }
                 Ok(())
@@ -210,22 +210,22 @@
                 let (leg, last) = (whole(of, "roundNo")? as usize, truth(of, "last")?);
                 let ending = ending(text(of, "result")?)?;
                 self.with_call(wall, of, |call| {
-                    call.ended(now, leg, ending, last);
+                    call.on_leg_ended(now, leg, ending, last);
                     Ok(())
                 })?;
             }
             "TICK_DUE" => match self.door.fired(whole(of, "name")?) {
-                Some(None) => self.balancer.woken(now),
+                Some(None) => self.balancer.on_timer(now),
                 Some(Some(id)) => {
                     if let Some(call) = self.calls.get(&id).cloned() {
-                        call.woken(now);
+                        call.on_timer(now);
                         self.settle(wall, id);
                     }
                 }
                 None => {}
             },
             // A call that is over with this is let go of when its timer for the probe fires.
-            "PROBE_RESULT" => self.balancer.probed(now, server_id(of)?, self.asked(of)?),
+            "PROBE_RESULT" => self.balancer.on_probe_result(now, server_id(of)?, self.asked(of)?),
             // Nothing is told to peers.
             "FROM_PEER" => {}
             other => return Err(format!("unknown event '{other}'")),
@@ -257,7 +257,7 @@
 
     /// Lets go of a call that is over.
     fn settle(&mut self, wall: f64, id: u64) {
-        if self.calls.get(&id).is_some_and(|call| call.is_over()) {
+        if self.calls.get(&id).is_some_and(|call| call.is_finished()) {
             self.calls.remove(&id);
             self.echoes.push_back((wall, id));
         }
@@ -267,16 +267,16 @@
     }
 }
 
-fn ending(name: &str) -> Outcome<Ending> {
+fn ending(name: &str) -> Outcome<LegOutcome> {
     Ok(match name {
-        "OK" => Ending::Served,
-        "INTERNAL" => Ending::Error,
-        "RESOURCE_EXHAUSTED" => Ending::Full,
-        "DEADLINE_EXCEEDED" => Ending::TimedOut,
-        "UNAVAILABLE" => Ending::Unreachable,
-        "ABORTED" => Ending::Broken,
-        "CANCELLED" => Ending::Cancelled,
-        "TOO_LATE" => Ending::NotSent,
+        "OK" => LegOutcome::Served,
+        "INTERNAL" => LegOutcome::Error,
+        "RESOURCE_EXHAUSTED" => LegOutcome::Full,
+        "DEADLINE_EXCEEDED" => LegOutcome::TimedOut,
+        "UNAVAILABLE" => LegOutcome::Unreachable,
+        "ABORTED" => LegOutcome::Broken,
+        "CANCELLED" => LegOutcome::Cancelled,
+        "TOO_LATE" => LegOutcome::NotSent,
         other => return Err(format!("field 'result' names unknown '{other}'")),
     })
 }
--- a/crates/dewhead/src/refusal.rs
+++ b/crates/dewhead/src/refusal.rs
@@ -10,7 +10,7 @@
     /// Each ready server is at its limit, or has just said that it is full.
     AtLimit,
     /// Servers of which nothing is known are taken to be as full as the known ones.
-    Unknown,
+    UnknownLoad,
     /// Servers in slow start have no budget left for this balancer.
     SlowStart,
     /// The call's group may not spread to further servers.
@@ -31,7 +31,7 @@
     pub const ALL: [Refusal; 10] = [
         Refusal::NoServer,
         Refusal::AtLimit,
-        Refusal::Unknown,
+        Refusal::UnknownLoad,
         Refusal::SlowStart,
         Refusal::GroupSpread,
         Refusal::Unhealthy,
@@ -46,7 +46,7 @@
         match self {
             Refusal::NoServer => "no_server",
             Refusal::AtLimit => "at_limit",
-            Refusal::Unknown => "unknown_load",
+            Refusal::UnknownLoad => "unknown_load",
             Refusal::SlowStart => "slow_start",
             Refusal::GroupSpread => "group_spread",
             Refusal::Unhealthy => "unhealthy",
@@ -66,10 +66,10 @@
 
 /// How many servers one selection passed over, by reason.
 #[derive(Clone, Copy, Default, Debug)]
-pub struct Skipped([u32; Refusal::ALL.len()]);
+pub struct SkipCounts([u32; Refusal::ALL.len()]);
 
-impl Skipped {
-    pub fn count(&mut self, why: Refusal) {
+impl SkipCounts {
+    pub fn record(&mut self, why: Refusal) {
         self.0[why as usize] += 1;
     }
 
--- a/crates/dewhead/src/rules.rs
+++ b/crates/dewhead/src/rules.rs
@@ -1,14 +1,18 @@
 //! All decisions of the balancer.
 //!
-//! How to call it: build the parts of `state.rs` (`Watch`, `Place`, `Shares`, `SlowStart`, `Legs`) from the few
-//! settings each takes, hand them to `Balancer::new` with a seed and the door (`outward.rs`), call `begin`,
-//! then tell it what happens. `take` gives a handle to the call, and all that happens to the call later is a
-//! method of that handle. Every method takes the clock; the module has none, and no I/O. Words: `terms.rs`.
+//! How to call it: build the parts of `state.rs` (`ListSubscription`, `Locality`, `TenantShares`, `SlowStart`, `LegPolicy`) from the few
+//! settings each takes, hand them to `Balancer::new` with a seed and the door (`host_interface.rs`), call `start`,
+//! then tell it what happens. `accept_call` gives a handle to the call, and all that happens to the call later is a
+//! method of that handle. Every method takes the clock; the module has none, and no I/O. Words: `types.rs`.
 
-use crate::refusal::{Refusal, Skipped};
+use crate::refusal::{Refusal, SkipCounts};
 use crate::slow_start::{rank, GOLDEN};
-use crate::state::{Balancer, Call, Health, Leg, Location, Place, Server, Shares, Stage, Watch};
-use crate::terms::{Effect, Ending, Group, Listed, News, State, TrafficType, Wanted};
+use crate::state::{
+    Balancer, Call, Health, Leg, ListSubscription, Locality, Server, Stage, TenantShares, ZoneAvailability,
+};
+use crate::types::{
+    CallRequest, Idempotency, LegOutcome, ListUpdate, RepeatScope, ServerEntry, ServerState, TrafficType,
+};
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 
@@ -55,20 +59,20 @@
 /// With room nowhere else, a server is relieved once a message takes this many of the shortest message targets.
 const LATE: f64 = 3.0;
 
-impl Watch {
+impl ListSubscription {
     /// The pause after a failed call: doubling, spread out, and never so long that a list ages past its use.
     fn pause(&self, chance: f64) -> f64 {
         let failures = self.failures.get();
         self.failures.set(failures.saturating_add(1));
-        self.deemed_after / 64.0 * f64::from(1u32 << failures.min(4)) * (0.5 + chance)
+        self.subscribe_within / 64.0 * f64::from(1u32 << failures.min(4)) * (0.5 + chance)
     }
 }
 
-impl Place {
+impl Locality {
     /// `price` is what crossing costs a call, and `moving` what a move costs, against 1 for serving it.
-    pub fn new(home: usize, price: f64, moving: f64) -> Place {
+    pub fn new(home: usize, price: f64, moving: f64) -> Locality {
         let homecoming = price > 4.0 * moving;
-        Place { home: home as u32, parts: 10.0 * price, abroad: Cell::new(1.0), homecoming }
+        Locality { home: home as u32, parts: 10.0 * price, abroad: Cell::new(1.0), homecoming }
     }
 
     /// `home` is the part of all servers, by weight, that stand there. Crossing costs parts of what a server holds of
@@ -82,7 +86,7 @@
     }
 }
 
-impl Location {
+impl ZoneAvailability {
     fn tally(&self, weight: f64, closed: bool) {
         let (all, shut) = self.known.get();
         self.known.set((all + weight, shut + if closed { weight } else { 0.0 }));
@@ -94,7 +98,7 @@
     }
 }
 
-impl Shares {
+impl TenantShares {
     fn count(&self, shop: Option<usize>, change: i32) {
         if let Some(held) = shop.and_then(|s| self.held.get(s)) {
             held.set(held.get().saturating_add_signed(change));
@@ -103,7 +107,9 @@
 
     /// 1 within the shop's share, less beyond: this balancer's part of it is one of `siblings`.
     fn worth(&self, shop: Option<usize>, siblings: f64) -> f64 {
-        match shop.and_then(|s| Some((self.shops.get(s)?.standing / siblings, self.held.get(s)?.get()))) {
+        match shop
+            .and_then(|s| Some((self.shops.get(s)?.quota_connections / siblings, self.held.get(s)?.get())))
+        {
             Some((part, held)) if part > 0.0 && f64::from(held) > part => self.beyond,
             _ => 1.0,
         }
@@ -154,14 +160,14 @@
 
 impl Balancer {
     /// Begins: asks for the list where it must be asked for, and sets the timers that this deployment needs.
-    pub fn begin(&self, now: f64) {
+    pub fn start(&self, now: f64) {
         self.began.set(now);
-        if self.watch.must_ask {
-            self.door.follow_list();
+        if self.watch.required {
+            self.host.subscribe_to_list();
         }
         if self.place.homecoming {
             self.home_at.set(now);
-            self.door.wake(now);
+            self.host.set_timer(now);
         }
     }
 
@@ -189,10 +195,10 @@
         MEMORY * self.longest_guard
     }
 
-    pub fn woken(&self, now: f64) {
+    pub fn on_timer(&self, now: f64) {
         if now + EARLY >= self.ask_at.get() {
             self.ask_at.set(f64::INFINITY);
-            self.door.follow_list();
+            self.host.subscribe_to_list();
         }
         if now + EARLY >= self.home_at.get() {
             self.call_home(now);
@@ -204,15 +210,16 @@
     fn call_home(&self, now: f64) {
         let at = now + 0.05 * self.longest_guard;
         self.home_at.set(at);
-        self.door.wake(at);
+        self.host.set_timer(at);
         let (servers, memory) = (self.servers.borrow(), self.memory());
-        let mut room = servers.iter().filter(|s| s.zone == self.place.home && s.state.get() == State::Ready);
+        let mut room =
+            servers.iter().filter(|s| s.zone == self.place.home && s.state.get() == ServerState::Ready);
         let roomy = |s: &Rc<Server>| {
             let asked = s.report.get().map_or(0.0, |(asked, _)| asked);
             s.load.get() as f64 <= 0.5 * s.limit(now, memory) && asked < 0.7 && !s.health.sick(now, memory, 2)
         };
         // With less than a connection a server room is not seen: 300 balancers took home for empty, and crowded it.
-        let ready = servers.iter().filter(|s| s.state.get() == State::Ready).count();
+        let ready = servers.iter().filter(|s| s.state.get() == ServerState::Ready).count();
         let unseen = (self.held.get() as usize) < ready;
         // Called home while others are turned away, connections would only join those.
         if unseen || !room.any(roomy) || now - self.refused_at.get() < self.longest_guard {
@@ -230,26 +237,26 @@
         let home =
             abroad.first().and_then(|c| self.pick(now, c, EASE)).is_some_and(|s| s.zone == self.place.home);
         for call in abroad.iter().take((self.held.get() as usize).div_ceil(100)).filter(|_| home) {
-            self.door.relocate(call.id);
+            self.host.relocate(call.id);
         }
     }
 
-    pub fn list(&self, now: f64, news: News, entries: &[Listed]) {
-        if news == News::Failed {
-            if self.watch.must_ask && self.ask_at.get().is_infinite() {
+    pub fn on_list_update(&self, now: f64, news: ListUpdate, entries: &[ServerEntry]) {
+        if news == ListUpdate::Failed {
+            if self.watch.required && self.ask_at.get().is_infinite() {
                 let at = now + self.watch.pause(self.draw());
                 self.ask_at.set(at);
-                self.door.wake(at);
+                self.host.set_timer(at);
             }
             return;
         }
-        if news != News::Remembered {
+        if news != ListUpdate::Cached {
             self.watch.failures.set(0);
         }
         let mut servers = self.servers.borrow_mut();
-        if matches!(news, News::Whole | News::Remembered) {
+        if matches!(news, ListUpdate::Full | ListUpdate::Cached) {
             // A server missing from a whole list is gone.
-            servers.iter().for_each(|s| s.state.set(State::Gone));
+            servers.iter().for_each(|s| s.state.set(ServerState::Gone));
         }
         for listed in entries {
             match servers.binary_search_by_key(&listed.id, |s| s.id) {
@@ -266,8 +273,8 @@
             }
         }
         // To look at all of them for each change would cost what the whole fleet does.
-        if news != News::Changes || entries.iter().any(|e| e.state == State::Gone) {
-            servers.retain(|s| s.state.get() != State::Gone || s.held.get() > 0);
+        if news != ListUpdate::Delta || entries.iter().any(|e| e.state == ServerState::Gone) {
+            servers.retain(|s| s.state.get() != ServerState::Gone || s.held.get() > 0);
         }
     }
 
@@ -277,7 +284,7 @@
     }
 
     /// A probe's answer: what is asked of the server over what it can do; none where it did not tell.
-    pub fn probed(&self, now: f64, server: u64, asked: Option<f64>) {
+    pub fn on_probe_result(&self, now: f64, server: u64, asked: Option<f64>) {
         let Some(server) = self.named(server) else { return };
         if let Some(asked) = asked {
             server.report.set(Some((asked, now)));
@@ -287,19 +294,19 @@
     }
 
     /// A call has come in. The handle is all that its events need.
-    pub fn take(&self, now: f64, id: u64, wanted: Wanted) -> Rc<Call> {
-        let call = self.handle(now, id, wanted);
+    pub fn accept_call(&self, now: f64, id: u64, request: CallRequest) -> Rc<Call> {
+        let call = self.handle(now, id, request);
         call.next_leg_or_give_up(now);
         call
     }
 
     /// A connection that stands already.
-    pub fn adopt(&self, now: f64, id: u64, wanted: Wanted, server: u64) -> Rc<Call> {
-        let call = self.handle(now, id, wanted);
+    pub fn adopt_connection(&self, now: f64, id: u64, request: CallRequest, server: u64) -> Rc<Call> {
+        let call = self.handle(now, id, request);
         // A server that no list has named yet holds it all the same.
         let server = self.named(server).unwrap_or_else(|| {
-            let unnamed = Listed::unnamed(server, self.place.home as usize);
-            Server::new(now, &unnamed, self.rounding(server))
+            let unlisted = ServerEntry::unlisted(server, self.place.home as usize);
+            Server::new(now, &unlisted, self.rounding(server))
         });
         call.place(now, server);
         call.legs.borrow_mut().iter_mut().for_each(Leg::answered);
@@ -307,13 +314,13 @@
         call
     }
 
-    fn handle(&self, now: f64, id: u64, wanted: Wanted) -> Rc<Call> {
-        let rate = wanted.hint.unwrap_or_else(|| self.mean_load());
+    fn handle(&self, now: f64, id: u64, request: CallRequest) -> Rc<Call> {
+        let rate = request.load_hint.unwrap_or_else(|| self.mean_load());
         Rc::new(Call {
             balancer: self.me.upgrade().expect("a balancer that is called is alive"),
             id,
-            until: Cell::new(wanted.until),
-            wanted,
+            until: Cell::new(request.deadline),
+            request,
             taken_at: now,
             stage: Cell::new(Stage::Waiting),
             legs: RefCell::new(Vec::new()),
@@ -343,7 +350,7 @@
 
     /// As `pick`; where there is no server, the reason that most of them were passed over for.
     fn select(&self, now: f64, call: &Call, price: f64) -> Result<Rc<Server>, Refusal> {
-        let mut skipped = Skipped::default();
+        let mut skipped = SkipCounts::default();
         let servers = self.servers.borrow();
         let (memory, total) = (self.memory(), self.load.get() as f64);
         // Incident iadd0bb: summed up apart, without a branch, the servers come into the cache many at a
@@ -353,7 +360,7 @@
         for server in servers.iter() {
             let at_home = f64::from(u8::from(server.zone == self.place.home));
             held += at_home * f64::from(server.held.get());
-            let here = f64::from(u8::from(server.state.get() == State::Ready));
+            let here = f64::from(u8::from(server.state.get() == ServerState::Ready));
             let weight = self.size(server);
             home += here * weight * at_home;
             ready += here * weight;
@@ -383,18 +390,18 @@
         let (mean, rate) = (self.mean_load() * GRAIN, call.rate.get() * GRAIN);
         let growth = REGROWN * self.longest_guard;
         // A shop beyond its share stops earlier, so that the others keep theirs when there is not enough.
-        let room = ROOM * (0.5 + 0.5 * self.shares.worth(call.wanted.shop, self.siblings));
+        let room = ROOM * (0.5 + 0.5 * self.shares.worth(call.request.tenant, self.siblings));
         let (legs, part) = (call.legs.borrow(), self.part(call));
         let (mut best, mut ties): (Option<(f64, &Rc<Server>)>, f64) = (None, 0.0);
         let (mut second, mut sick, mut reported) = (None::<(f64, &Rc<Server>)>, 0.0, (0.0, 0.0));
         // When most look sick, the fault may be on our own side, and they are as good as any.
         let suspect_own_side = self.sick_share.get() > 0.5;
         for server in servers.iter() {
-            if server.state.get() != State::Ready {
+            if server.state.get() != ServerState::Ready {
                 continue;
             }
             if !call.allows(now, server) {
-                skipped.count(Refusal::RepeatForbidden);
+                skipped.record(Refusal::RepeatForbidden);
                 continue;
             }
             let (weight, age) = (self.size(server), now - server.started.get());
@@ -415,7 +422,7 @@
             }
             let unknown = load == 0.0 && limit.is_infinite() && age >= 3.0 * self.slow_start.warm_after;
             if closed || (unknown && server.rounding < location.closed.get()) {
-                skipped.count(if closed { Refusal::AtLimit } else { Refusal::Unknown });
+                skipped.record(if closed { Refusal::AtLimit } else { Refusal::UnknownLoad });
                 continue;
             }
             // Crossing costs a mean part at the least, and no less than the server's own: the largest abroad
@@ -437,7 +444,7 @@
             if best.as_ref().is_none_or(|(most, _)| left >= *most) {
                 let cold = age < self.slow_start.warm_after || filling;
                 if cold && !self.within_budget(now, server, age) {
-                    skipped.count(Refusal::SlowStart);
+                    skipped.record(Refusal::SlowStart);
                     continue;
                 }
                 let price = self.group_price(call, server, mean, part * weight * count / ready);
@@ -445,7 +452,7 @@
                 // a cold server with budget left: it is known to have room, and few calls find it.
                 let parts = (SPILL * (1.0 - location.closed.get())).max(1.0);
                 if !cold && price > (BASE + parts) * mean {
-                    skipped.count(Refusal::GroupSpread);
+                    skipped.record(Refusal::GroupSpread);
                     continue;
                 }
                 left -= price;
@@ -453,14 +460,14 @@
             let rested = now - server.health.judged_at.get().max(server.tried_at.get()) > self.longest_guard;
             if server.health.sick(now, memory, 2) && !rested {
                 sick += weight;
-                skipped.count(Refusal::Unhealthy);
+                skipped.record(Refusal::Unhealthy);
                 if suspect_own_side {
                     second = second.filter(|(most, _)| left <= *most).or(Some((left, server)));
                 }
                 continue;
             }
             if legs.iter().any(|l| Rc::ptr_eq(&l.server, server)) {
-                skipped.count(Refusal::Unhealthy);
+                skipped.record(Refusal::Unhealthy);
                 second = second.filter(|(most, _)| left <= *most).or(Some((left, server)));
                 continue;
             }
@@ -475,7 +482,7 @@
                 _ => (best, ties) = (Some((left, server)), 1.0),
             }
         }
-        self.locations.iter().for_each(Location::settle);
+        self.locations.iter().for_each(ZoneAvailability::settle);
         if reported.1 > 0.0 {
             self.reported.set(reported.0 / reported.1);
         }
@@ -485,7 +492,7 @@
 
     /// The part of this balancer's connections that a call's group is; one server's at the least.
     fn part(&self, call: &Call) -> f64 {
-        let held = call.wanted.group.and_then(|g| self.groups.borrow().get(&g).copied()).unwrap_or(0);
+        let held = call.request.group.and_then(|g| self.groups.borrow().get(&g).copied()).unwrap_or(0);
         let least = 1.0 / self.servers.borrow().len().max(1) as f64;
         (f64::from(held) / f64::from(self.held.get().max(1))).max(least)
     }
@@ -493,7 +500,7 @@
     /// A server that holds none of a call's group here pays for the group. Each balancer ranks a group's
     /// servers alike, so that its parts meet on the same few, and on large ones as much oftener as they are larger.
     fn group_price(&self, call: &Call, server: &Server, mean: f64, part: f64) -> f64 {
-        match call.wanted.group {
+        match call.request.group {
             Some(group) if self.group_cost > 0.0 && !server.groups.borrow().contains_key(&group) => {
                 self.group_cost * mean * (BASE + rank(group, server.id) / part)
             }
@@ -532,7 +539,7 @@
             {
                 moved += 1;
                 excess -= load;
-                self.door.relocate(call.id);
+                self.host.relocate(call.id);
             }
         }
     }
@@ -555,35 +562,35 @@
 impl Call {
     /// Rule 2, the servers: where a leg of a referenced call that may have run can be sent again.
     fn allows(&self, now: f64, server: &Server) -> bool {
-        let traffic = &self.balancer.traffic[self.wanted.traffic];
-        match (traffic.effect, self.may_have_run.get()) {
-            (Effect::Repeatable, _) | (_, None) => true,
-            (Effect::OnceOnly, Some(_)) => false,
-            (Effect::Referenced(group), Some((zone, cell, sent_at))) => {
-                now - sent_at < 0.9 * traffic.window
+        let traffic = &self.balancer.traffic[self.request.traffic_type];
+        match (traffic.idempotency, self.may_have_run.get()) {
+            (Idempotency::Repeatable, _) | (_, None) => true,
+            (Idempotency::OnceOnly, Some(_)) => false,
+            (Idempotency::Referenced(group), Some((zone, cell, sent_at))) => {
+                now - sent_at < 0.9 * traffic.repeat_window
                     && match group {
-                        Group::All => true,
-                        Group::Zone => zone == server.zone,
-                        Group::Cell => cell == server.cell && zone == server.zone,
+                        RepeatScope::All => true,
+                        RepeatScope::Zone => zone == server.zone,
+                        RepeatScope::Cell => cell == server.cell && zone == server.zone,
                     }
             }
         }
     }
 
     /// Whether a leg whose connection is up may be asked still: what was learned meanwhile counts, as its send does.
-    pub fn may_go(&self, now: f64, leg: usize) -> bool {
+    pub fn may_send_now(&self, now: f64, leg: usize) -> bool {
         self.legs.borrow().get(leg).is_some_and(|l| {
-            let here = l.server.state.get() == State::Ready && l.server.started.get() == l.started;
+            let here = l.server.state.get() == ServerState::Ready && l.server.started.get() == l.started;
             here && now < self.until.get() && self.allows(now, &l.server)
         })
     }
 
     /// Rule 2, the answer: a reject says that trying again is harmless.
     fn may_reject(&self) -> bool {
-        let effect = self.balancer.traffic[self.wanted.traffic].effect;
+        let idempotency = self.balancer.traffic[self.request.traffic_type].idempotency;
         let out = self.legs.borrow().iter().any(|l| l.out);
-        match effect {
-            Effect::Repeatable | Effect::Referenced(Group::All) => true,
+        match idempotency {
+            Idempotency::Repeatable | Idempotency::Referenced(RepeatScope::All) => true,
             _ => self.may_have_run.get().is_none() && !out,
         }
     }
@@ -599,7 +606,7 @@
         let balancer = &self.balancer;
         let sent = self.legs.borrow().len() as u32;
         let guard = self.until.get() - now;
-        if sent >= balancer.legs.most {
+        if sent >= balancer.legs.max_legs {
             return Err(Refusal::AttemptsSpent);
         }
         if guard <= 0.0 {
@@ -613,21 +620,21 @@
         if sent == 0 && self.probe(now, &server) {
             return Ok(());
         }
-        let TrafficType { effect, setup_target, .. } = balancer.traffic[self.wanted.traffic];
+        let TrafficType { idempotency, setup_target, .. } = balancer.traffic[self.request.traffic_type];
         let target = self.taken_at + setup_target - now;
-        let last = sent + 1 == balancer.legs.most;
+        let last = sent + 1 == balancer.legs.max_legs;
         // A leg leaves time for a further one before the setup target, or else before the guard time.
         let limit = match () {
             () if last || balancer.shared_fault(now) => guard,
             () if target > 0.0 => (target / 2.0).max(guard / 8.0).min(guard),
             () => (guard / 2.0).max(guard.min(target.abs())),
         };
-        if balancer.legs.two_at_once && effect == Effect::Repeatable && limit < guard && sent == 0 {
+        if balancer.legs.two_at_once && idempotency == Idempotency::Repeatable && limit < guard && sent == 0 {
             // Where two may be out, the first leg goes on when the second starts.
-            balancer.door.send(self.id, server.id, guard);
+            balancer.host.send_leg(self.id, server.id, guard);
             self.wake(now + limit);
         } else {
-            balancer.door.send(self.id, server.id, limit);
+            balancer.host.send_leg(self.id, server.id, limit);
         }
         balancer.count_sent(now, &server, self.rate.get());
         self.place(now, server);
@@ -638,7 +645,7 @@
     fn probe(self: &Rc<Self>, now: f64, server: &Rc<Server>) -> bool {
         let balancer = &self.balancer;
         let known = server.report.get().is_some_and(|(_, at)| now - at < KNOWN * balancer.longest_guard);
-        let wait = HEARD * balancer.traffic[self.wanted.traffic].setup_target;
+        let wait = HEARD * balancer.traffic[self.request.traffic_type].setup_target;
         let time = self.until.get() - now > 2.0 * wait;
         if !balancer.probes || known || !time || self.probe.get().is_some() {
             return false;
@@ -646,7 +653,7 @@
         // One probe serves all that wait for it. Whoever it was not answered in time no longer does.
         let mut probing = server.probing.borrow_mut();
         probing.retain(|c| c.upgrade().is_some_and(|c| c.probe.get() == Some(true)));
-        if probing.is_empty() && !balancer.door.probe(server.id) {
+        if probing.is_empty() && !balancer.host.probe(server.id) {
             return false;
         }
         probing.push(Rc::downgrade(self));
@@ -657,7 +664,7 @@
 
     fn wake(&self, at: f64) {
         self.due.set(at);
-        self.balancer.door.wake_call(self.id, at);
+        self.balancer.host.set_call_timer(self.id, at);
     }
 
     /// The probe is over, answered or not; what comes of it later counts for other calls only.
@@ -672,9 +679,9 @@
         let load = (self.rate.get() * self.busy.get() * GRAIN) as i64;
         self.balancer.sum(&server, load);
         self.balancer.held.set(self.balancer.held.get() + 1);
-        self.balancer.shares.count(self.wanted.shop, 1);
+        self.balancer.shares.count(self.request.tenant, 1);
         server.held.set(server.held.get() + 1);
-        if let Some(group) = self.wanted.group {
+        if let Some(group) = self.request.group {
             *server.groups.borrow_mut().entry(group).or_insert(0) += 1;
             *self.balancer.groups.borrow_mut().entry(group).or_insert(0) += 1;
         }
@@ -695,9 +702,9 @@
         server.calls.borrow_mut().remove(&leg.place);
         leg.answered();
         self.balancer.held.set(self.balancer.held.get() - 1);
-        self.balancer.shares.count(self.wanted.shop, -1);
+        self.balancer.shares.count(self.request.tenant, -1);
         server.held.set(server.held.get() - 1);
-        if let Some(group) = self.wanted.group {
+        if let Some(group) = self.request.group {
             for groups in [&server.groups, &self.balancer.groups] {
                 let mut groups = groups.borrow_mut();
                 if let Some(count) = groups.get_mut(&group) {
@@ -716,21 +723,21 @@
             return;
         }
         self.balancer.refused_at.set(now);
-        self.balancer.door.refused(self.id, why);
+        self.balancer.host.note_refusal(self.id, why);
         if self.may_reject() {
-            self.balancer.door.reject(self.id, self.balancer.legs.stay_away);
+            self.balancer.host.reject(self.id, self.balancer.legs.max_retry_after);
         } else {
-            self.balancer.door.release(self.id);
+            self.balancer.host.release(self.id);
         }
     }
 
     /// Nothing more will be heard of this call, and the handle can go.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.stage.get() == Stage::Answered && !self.legs.borrow().iter().any(|l| l.out)
     }
 
     /// The connection stands; a second leg still out is called off.
-    pub fn established(&self, now: f64, leg: usize) {
+    pub fn on_established(&self, now: f64, leg: usize) {
         if self.stage.get() == Stage::Waiting {
             self.stage.set(Stage::Standing);
             self.bound.set(leg);
@@ -740,14 +747,14 @@
                 one.answered();
                 one.server.health.judge(now, true);
                 self.balancer.shared.judge(now, true);
-            } else if one.out && self.balancer.legs.may_withdraw {
-                self.balancer.door.withdraw(self.id, at as u32);
+            } else if one.out && self.balancer.legs.may_cancel {
+                self.balancer.host.cancel_leg(self.id, at as u32);
             }
         }
     }
 
     /// The connection's present load, smoothed as in Eq. 2; p_j likewise.
-    pub fn load_is(&self, now: f64, leg: usize, load: f64) {
+    pub fn on_load(&self, now: f64, leg: usize, load: f64) {
         let fade = (-(now - self.read_at.replace(now)).max(0.0) / K).exp();
         let busy = if load > 0.0 { 1.0 } else { 0.0 };
         self.rate.set((1.0 - fade) * load + fade * self.rate.get());
@@ -761,11 +768,11 @@
     }
 
     fn worth(&self) -> f64 {
-        self.balancer.shares.worth(self.wanted.shop, self.balancer.siblings)
+        self.balancer.shares.worth(self.request.tenant, self.balancer.siblings)
     }
 
     /// How long a message takes at this call's server now.
-    pub fn messages_take(&self, now: f64, leg: usize, delay: f64) {
+    pub fn on_message_delay(&self, now: f64, leg: usize, delay: f64) {
         let Some(server) = self.legs.borrow().get(leg).map(|l| l.server.clone()) else { return };
         let balancer = &self.balancer;
         // What a message takes is work piled up: it grows by what is asked beyond what the server can do.
@@ -781,11 +788,11 @@
         }
     }
 
-    pub fn ended(self: &Rc<Self>, now: f64, leg: usize, ending: Ending, last: bool) {
+    pub fn on_leg_ended(self: &Rc<Self>, now: f64, leg: usize, ending: LegOutcome, last: bool) {
         let Some(server) = self.unplace(leg) else { return };
         let balancer = &self.balancer;
         match ending {
-            Ending::Broken if self.stage.get() == Stage::Standing && self.bound.get() == leg => {
+            LegOutcome::Broken if self.stage.get() == Stage::Standing && self.bound.get() == leg => {
                 // Connections that break here and there are the network's doing: what a server sheds, or
                 // loses with its process, breaks together. A cut for each turned away what the servers had
                 // room for. Of a few held, one is as many as may ever be seen to break.
@@ -801,17 +808,18 @@
                     balancer.overdriven(now, &server, 0.97);
                 }
             }
-            Ending::Error | Ending::TimedOut | Ending::Unreachable | Ending::Broken => {
-                let shared = matches!(ending, Ending::Error | Ending::TimedOut).then_some(&balancer.shared);
+            LegOutcome::Error | LegOutcome::TimedOut | LegOutcome::Unreachable | LegOutcome::Broken => {
+                let shared =
+                    matches!(ending, LegOutcome::Error | LegOutcome::TimedOut).then_some(&balancer.shared);
                 shared.into_iter().chain([&server.health]).for_each(|health| health.judge(now, false));
             }
             // Full is capacity, not sickness.
-            Ending::Full => {
+            LegOutcome::Full => {
                 // Incident iadd0bb: a full queue answers at once, and the next calls all went there too.
                 server.full_until.set(now + balancer.longest_guard * balancer.draw());
                 balancer.overdriven(now, &server, 0.97);
             }
-            Ending::Served | Ending::Cancelled | Ending::NotSent => {}
+            LegOutcome::Served | LegOutcome::Cancelled | LegOutcome::NotSent => {}
         }
         if ending.may_have_run() && self.may_have_run.get().is_none() {
             let sent_at = self.legs.borrow()[leg].sent_at;
@@ -826,13 +834,13 @@
     }
 
     /// The client left before an answer, or was cut off; none is owed.
-    pub fn left(&self) {
+    pub fn on_client_left(&self) {
         self.stage.set(Stage::Answered);
     }
 
     /// A probe is not waited for any longer; where two legs may be out at once, the second starts when the first takes
     /// long.
-    pub fn woken(self: &Rc<Self>, now: f64) {
+    pub fn on_timer(self: &Rc<Self>, now: f64) {
         // The timer of a probe that was answered in time was taken for the second leg's.
         if now + EARLY < self.due.get() {
             return;
@@ -841,7 +849,7 @@
             return self.go_on(now);
         }
         let one_out = self.legs.borrow().iter().filter(|l| l.out).count() == 1;
-        let more = (self.legs.borrow().len() as u32) < self.balancer.legs.most;
+        let more = (self.legs.borrow().len() as u32) < self.balancer.legs.max_legs;
         if self.stage.get() == Stage::Waiting && one_out && more {
             // A first leg is out still, and goes on where there is no second.
             let _ = self.next_leg(now);
--- a/crates/dewhead/src/slow_start.rs
+++ b/crates/dewhead/src/slow_start.rs
@@ -46,7 +46,7 @@
 
     /// What the settings allow in a window, as a part of what a server can hold.
     fn window_share(&self) -> f64 {
-        self.slow_start.multiple * self.slow_start.window / self.slow_start.warm_after
+        self.slow_start.overload_multiple * self.slow_start.window / self.slow_start.warm_after
     }
 
     /// What this balancer sends in a window: its part of what all may, which is what the settings allow and the roots of
--- a/crates/dewhead/src/state.rs
+++ b/crates/dewhead/src/state.rs
@@ -1,22 +1,22 @@
 //! What a balancer keeps: its parts, its servers, its calls and itself. No decision is made here; they are in `rules`.
 
-use crate::outward::Outward;
-use crate::terms::{Listed, Shop, State, TrafficType, Wanted};
+use crate::host_interface::BalancerHost;
+use crate::types::{CallRequest, ServerEntry, ServerState, Tenant, TrafficType};
 use oorandom::Rand64;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
 /// Following the list of servers where it must be asked for.
-pub struct Watch {
-    pub must_ask: bool,
+pub struct ListSubscription {
+    pub required: bool,
     /// Without a subscription, the list counts as told after this long.
-    pub deemed_after: f64,
+    pub subscribe_within: f64,
     pub failures: Cell<u32>,
 }
 
 /// The price of crossing zones, as a term of Eq. 1.
-pub struct Place {
+pub struct Locality {
     pub(crate) home: u32,
     /// What crossing costs, in parts that a mean server holds of all own load.
     pub(crate) parts: f64,
@@ -28,7 +28,7 @@
 
 /// What is known of the servers of one location, by weight.
 #[derive(Default)]
-pub struct Location {
+pub struct ZoneAvailability {
     /// Known so far in this pass: all of them, and those closed.
     pub(crate) known: Cell<(f64, f64)>,
     /// The closed part at the last pick.
@@ -49,8 +49,8 @@
 }
 
 /// Fairness by shop share: what a shop holds beyond its share gives way first.
-pub struct Shares {
-    pub(crate) shops: Vec<Shop>,
+pub struct TenantShares {
+    pub(crate) shops: Vec<Tenant>,
     /// What all shops may have standing, in connections of the whole fleet.
     pub(crate) standing: f64,
     /// What traffic beyond a share is worth, against 1 within it.
@@ -63,24 +63,24 @@
 pub struct SlowStart {
     pub cold_share: f64,
     pub warm_after: f64,
-    pub multiple: f64,
+    pub overload_multiple: f64,
     pub window: f64,
 }
 
 /// How many legs a call may have and how they share its time.
-pub struct Legs {
-    pub most: u32,
+pub struct LegPolicy {
+    pub max_legs: u32,
     pub two_at_once: bool,
-    pub may_withdraw: bool,
+    pub may_cancel: bool,
     /// The longest a client can be asked to stay away; none where it can't be asked.
-    pub stay_away: Option<f64>,
+    pub max_retry_after: Option<f64>,
 }
 
 /// One server, as this balancer knows it. What every pick reads comes first, so that a pass over a large fleet
 /// touches few lines of the processor's cache.
 #[repr(C)]
 pub(crate) struct Server {
-    pub(crate) state: Cell<State>,
+    pub(crate) state: Cell<ServerState>,
     pub(crate) zone: u32,
     pub(crate) weight: Cell<f64>,
     pub(crate) started: Cell<f64>,
@@ -122,7 +122,7 @@
 }
 
 impl Server {
-    pub(crate) fn new(now: f64, listed: &Listed, rounding: f64) -> Rc<Server> {
+    pub(crate) fn new(now: f64, listed: &ServerEntry, rounding: f64) -> Rc<Server> {
         Rc::new(Server {
             id: listed.id,
             zone: listed.zone as u32,
@@ -196,7 +196,7 @@
 pub struct Call {
     pub(crate) balancer: Rc<Balancer>,
     pub(crate) id: u64,
-    pub(crate) wanted: Wanted,
+    pub(crate) request: CallRequest,
     /// When its final answer is due: the client's time, or sooner where the process ends.
     pub(crate) until: Cell<f64>,
     pub(crate) taken_at: f64,
@@ -217,25 +217,25 @@
 
 impl Call {
     /// The process can wait no longer than this, in seconds on the clock of the calls, whatever the client would.
-    pub fn hurry(&self, until: f64) {
+    pub fn limit_deadline(&self, until: f64) {
         self.until.set(self.until.get().min(until));
     }
 }
 
 pub struct Balancer {
     pub(crate) me: Weak<Balancer>,
-    pub(crate) door: Rc<dyn Outward>,
+    pub(crate) host: Rc<dyn BalancerHost>,
     pub(crate) chance: RefCell<Rand64>,
     /// This balancer's number among its siblings, from 0.
     pub(crate) position: f64,
     pub(crate) siblings: f64,
     pub(crate) traffic: Vec<TrafficType>,
-    pub(crate) shares: Shares,
-    pub(crate) watch: Watch,
-    pub(crate) place: Place,
-    pub(crate) locations: Vec<Location>,
+    pub(crate) shares: TenantShares,
+    pub(crate) watch: ListSubscription,
+    pub(crate) place: Locality,
+    pub(crate) locations: Vec<ZoneAvailability>,
     pub(crate) slow_start: SlowStart,
-    pub(crate) legs: Legs,
+    pub(crate) legs: LegPolicy,
     pub(crate) group_cost: f64,
     /// Whether the list's weights move with load, and so tell what servers hold.
     pub(crate) live: bool,
@@ -270,34 +270,34 @@
     pub(crate) ask_at: Cell<f64>,
 }
 
-impl Watch {
-    pub fn new(must_ask: bool, deemed_after: f64) -> Watch {
-        Watch { must_ask, deemed_after, failures: Cell::new(0) }
+impl ListSubscription {
+    pub fn new(required: bool, subscribe_within: f64) -> ListSubscription {
+        ListSubscription { required, subscribe_within, failures: Cell::new(0) }
     }
 }
 
-impl Shares {
-    pub fn new(shops: Vec<Shop>, beyond: f64) -> Shares {
+impl TenantShares {
+    pub fn new(shops: Vec<Tenant>, beyond: f64) -> TenantShares {
         let held = shops.iter().map(|_| Cell::new(0)).collect();
-        Shares { standing: shops.iter().map(|s| s.standing).sum(), shops, beyond, held }
+        TenantShares { standing: shops.iter().map(|s| s.quota_connections).sum(), shops, beyond, held }
     }
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet; `begin` sets it going.
+    /// A balancer that knows nothing yet; `start` sets it going.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         seed: u128,
-        door: Rc<dyn Outward>,
+        host: Rc<dyn BalancerHost>,
         position: usize,
         siblings: usize,
         traffic: Vec<TrafficType>,
-        shares: Shares,
-        watch: Watch,
-        place: Place,
+        shares: TenantShares,
+        watch: ListSubscription,
+        place: Locality,
         locations: usize,
         slow_start: SlowStart,
-        legs: Legs,
+        legs: LegPolicy,
         group_cost: f64,
         live: bool,
         probes: bool,
@@ -306,7 +306,7 @@
         let shortest_message = traffic.iter().map(|t| t.message_target).fold(f64::INFINITY, f64::min);
         Rc::new_cyclic(|me| Balancer {
             me: me.clone(),
-            door,
+            host,
             chance: RefCell::new(Rand64::new(seed)),
             position: position as f64,
             siblings: siblings.max(1) as f64,
@@ -314,7 +314,7 @@
             shares,
             watch,
             place,
-            locations: (0..locations.max(1)).map(|_| Location::default()).collect(),
+            locations: (0..locations.max(1)).map(|_| ZoneAvailability::default()).collect(),
             slow_start,
             legs,
             shared: Health::new(0.0),
--- a/crates/dewhead/src/terms.rs
+++ b/crates/dewhead/src/types.rs
@@ -1,15 +1,15 @@
 //! The words that the decisions and their hosts share. Times are seconds, loads are standard cores.
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Effect {
+pub enum Idempotency {
     Repeatable,
-    Referenced(Group),
+    Referenced(RepeatScope),
     OnceOnly,
 }
 
 /// Which servers know a referenced call's repeats.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Group {
+pub enum RepeatScope {
     All,
     Zone,
     Cell,
@@ -17,9 +17,9 @@
 
 #[derive(Clone, Debug)]
 pub struct TrafficType {
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// How long a referenced call's mark is remembered.
-    pub window: f64,
+    pub repeat_window: f64,
     pub setup_target: f64,
     /// A message on the standing connection is wanted within this.
     pub message_target: f64,
@@ -28,14 +28,14 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Shop {
+pub struct Tenant {
     pub share: f64,
     /// Standing connections of the shop within its share, over all proxies; 0 where not told.
-    pub standing: f64,
+    pub quota_connections: f64,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum State {
+pub enum ServerState {
     Ready,
     Draining,
     Gone,
@@ -43,37 +43,37 @@
 
 /// A server as the list names it.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ServerEntry {
     pub id: u64,
     pub zone: usize,
     pub cell: u64,
-    pub state: State,
+    pub state: ServerState,
     pub weight: f64,
     /// When it last started; none if long ago.
     pub started: Option<f64>,
 }
 
-impl Listed {
+impl ServerEntry {
     /// One that no list has named yet: nothing new goes there.
-    pub fn unnamed(id: u64, zone: usize) -> Listed {
-        Listed { id, zone, cell: 0, state: State::Gone, weight: 0.0, started: None }
+    pub fn unlisted(id: u64, zone: usize) -> ServerEntry {
+        ServerEntry { id, zone, cell: 0, state: ServerState::Gone, weight: 0.0, started: None }
     }
 }
 
 /// What a call brings along.
 #[derive(Clone, Debug)]
-pub struct Wanted {
-    pub traffic: usize,
-    pub shop: Option<usize>,
+pub struct CallRequest {
+    pub traffic_type: usize,
+    pub tenant: Option<usize>,
     /// When the client gives up.
-    pub until: f64,
-    pub hint: Option<f64>,
+    pub deadline: f64,
+    pub load_hint: Option<f64>,
     pub group: Option<u64>,
 }
 
 /// How a leg ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Ending {
+pub enum LegOutcome {
     Served,
     Error,
     Full,
@@ -84,19 +84,19 @@
     NotSent,
 }
 
-impl Ending {
+impl LegOutcome {
     /// Whether this ending leaves open that the leg ran.
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Ending::Full | Ending::Unreachable | Ending::NotSent)
+        !matches!(self, LegOutcome::Full | LegOutcome::Unreachable | LegOutcome::NotSent)
     }
 }
 
 /// How a list arrived.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum News {
-    Changes,
-    Whole,
+pub enum ListUpdate {
+    Delta,
+    Full,
     /// The list held before a restart, perhaps old.
-    Remembered,
+    Cached,
     Failed,
 }
--- a/crates/dewhead/tests/fleet/mod.rs
+++ b/crates/dewhead/tests/fleet/mod.rs
@@ -1,9 +1,11 @@
 //! Many balancers over the same servers through a release, with clients that come again: what all of them together do to
 //! a cold server. Servers bear so many mean connections by weight, and drop the newest beyond that.
 
-use dewhead::outward::Outward;
-use dewhead::state::{Balancer, Call, Legs, Place, Shares, SlowStart, Watch};
-use dewhead::terms::{Effect, Ending, Listed, News, Shop, State, TrafficType, Wanted};
+use dewhead::host_interface::BalancerHost;
+use dewhead::state::{Balancer, Call, LegPolicy, ListSubscription, Locality, SlowStart, TenantShares};
+use dewhead::types::{
+    CallRequest, Idempotency, LegOutcome, ListUpdate, ServerEntry, ServerState, Tenant, TrafficType,
+};
 use oorandom::Rand64;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -22,8 +24,8 @@
 
 fn traffic() -> TrafficType {
     TrafficType {
-        effect: Effect::Repeatable,
-        window: 2.0,
+        idempotency: Idempotency::Repeatable,
+        repeat_window: 2.0,
         setup_target: 0.5,
         message_target: 0.1,
         guard_time: 3.0,
@@ -31,8 +33,8 @@
     }
 }
 
-fn server(id: u64, weight: f64, started: Option<f64>) -> Listed {
-    Listed { id, zone: 0, cell: 0, state: State::Ready, weight, started }
+fn server(id: u64, weight: f64, started: Option<f64>) -> ServerEntry {
+    ServerEntry { id, zone: 0, cell: 0, state: ServerState::Ready, weight, started }
 }
 
 #[derive(Clone, Debug)]
@@ -99,23 +101,23 @@
     moved: RefCell<VecDeque<u64>>,
 }
 
-impl Outward for Door {
-    fn send(&self, call: u64, server: u64, _: f64) {
+impl BalancerHost for Door {
+    fn send_leg(&self, call: u64, server: u64, _: f64) {
         self.sent.borrow_mut().push_back((call, server));
     }
     fn reject(&self, _: u64, _: Option<f64>) {}
     fn release(&self, _: u64) {}
-    fn withdraw(&self, _: u64, _: u32) {}
+    fn cancel_leg(&self, _: u64, _: u32) {}
     fn relocate(&self, call: u64) {
         self.moved.borrow_mut().push_back(call);
     }
-    fn wake_call(&self, _: u64, _: f64) {}
-    fn wake(&self, _: f64) {}
-    fn follow_list(&self) {}
+    fn set_call_timer(&self, _: u64, _: f64) {}
+    fn set_timer(&self, _: f64) {}
+    fn subscribe_to_list(&self) {}
     fn probe(&self, _: u64) -> bool {
         false
     }
-    fn remark(&self, _: &str) {}
+    fn log(&self, _: &str) {}
 }
 
 struct Client {
@@ -126,7 +128,7 @@
 }
 
 struct Node {
-    listed: Listed,
+    listed: ServerEntry,
     ends_at: f64,
     /// Clients by age, the newest last.
     holds: Vec<usize>,
@@ -143,7 +145,7 @@
     by_call: BTreeMap<u64, usize>,
     nodes: BTreeMap<u64, Node>,
     /// What is still to be told: when, to whom, what.
-    news: Vec<(f64, usize, Listed)>,
+    news: Vec<(f64, usize, ServerEntry)>,
     calls: u64,
     refused: usize,
 }
@@ -152,29 +154,30 @@
     fn balancer(&self, at: usize) -> Rc<Balancer> {
         let bears = self.day.bears * self.day.servers as f64 * 2.0;
         let shops = match self.day.agreed {
-            Some(part) => vec![Shop { share: 1.0, standing: part * bears }],
+            Some(part) => vec![Tenant { share: 1.0, quota_connections: part * bears }],
             None => Vec::new(),
         };
-        let legs = Legs { most: 3, two_at_once: false, may_withdraw: true, stay_away: Some(1.0) };
+        let legs =
+            LegPolicy { max_legs: 3, two_at_once: false, may_cancel: true, max_retry_after: Some(1.0) };
         let balancer = Balancer::new(
             self.day.seed << 16 | at as u128 | (self.calls as u128) << 64,
             self.door.clone(),
             at,
             self.day.siblings,
             vec![traffic()],
-            Shares::new(shops, 0.1),
-            Watch::new(false, 10.0),
-            Place::new(0, 0.0, 0.01),
+            TenantShares::new(shops, 0.1),
+            ListSubscription::new(false, 10.0),
+            Locality::new(0, 0.0, 0.01),
             1,
-            SlowStart { cold_share: SHARE, warm_after: WARM, multiple: MULTIPLE, window: WINDOW },
+            SlowStart { cold_share: SHARE, warm_after: WARM, overload_multiple: MULTIPLE, window: WINDOW },
             legs,
             if self.day.groups > 0 { 1.0 } else { 0.0 },
             false,
             false,
         );
-        balancer.begin(self.now.get());
-        let listed: Vec<Listed> = self.nodes.values().map(|n| n.listed.clone()).collect();
-        balancer.list(self.now.get(), News::Whole, &listed);
+        balancer.start(self.now.get());
+        let listed: Vec<ServerEntry> = self.nodes.values().map(|n| n.listed.clone()).collect();
+        balancer.on_list_update(self.now.get(), ListUpdate::Full, &listed);
         balancer
     }
 
@@ -214,13 +217,13 @@
         fleet.run()
     }
 
-    fn add(&mut self, listed: Listed) {
+    fn add(&mut self, listed: ServerEntry) {
         let node =
             Node { listed: listed.clone(), ends_at: f64::INFINITY, holds: Vec::new(), sent: Vec::new() };
         self.nodes.insert(listed.id, node);
     }
 
-    fn tell(&mut self, listed: &Listed) {
+    fn tell(&mut self, listed: &ServerEntry) {
         for at in 0..self.day.balancers {
             let late = self.day.late.is_some_and(|n| at % n == 0);
             self.news.push((self.now.get() + if late { 2.5 } else { 0.5 }, at, listed.clone()));
@@ -241,7 +244,7 @@
                 for id in old {
                     let node = self.nodes.get_mut(&id).unwrap();
                     node.ends_at = now + 4.0;
-                    node.listed.state = State::Draining;
+                    node.listed.state = ServerState::Draining;
                     let told = node.listed.clone();
                     self.tell(&told);
                     let successor = server(id + 1_000_000, told.weight, Some(now + 2.0));
@@ -254,7 +257,7 @@
             }
             let due: Vec<_> = self.news.extract_if(.., |n| n.0 <= now).collect();
             for (_, at, listed) in due {
-                self.balancers[at].list(now, News::Changes, &[listed]);
+                self.balancers[at].on_list_update(now, ListUpdate::Delta, &[listed]);
             }
             if self.day.restarts && step % 30 == 0 {
                 let tenth = step / 30;
@@ -264,7 +267,7 @@
             }
             if self.day.burst.is_some_and(|at| (at / STEP) as usize == step) {
                 for client in (0..self.clients.len()).step_by(2) {
-                    self.leave(client, Ending::Cancelled, 0.2);
+                    self.leave(client, LegOutcome::Cancelled, 0.2);
                 }
             }
             self.serve(now);
@@ -286,24 +289,24 @@
             let Some((balancer, _, server)) = self.clients[client].stands.clone() else { continue };
             if balancer == at {
                 self.calls += 1;
-                let wanted = Wanted {
-                    traffic: 0,
-                    shop: None,
-                    until: now + 3.0,
-                    hint: None,
+                let wanted = CallRequest {
+                    traffic_type: 0,
+                    tenant: None,
+                    deadline: now + 3.0,
+                    load_hint: None,
                     group: self.clients[client].group,
                 };
-                let call = self.balancers[at].adopt(now, self.calls, wanted, server);
+                let call = self.balancers[at].adopt_connection(now, self.calls, wanted, server);
                 self.by_call.insert(self.calls, client);
                 self.clients[client].stands = Some((at, call, server));
             }
         }
     }
 
-    fn leave(&mut self, client: usize, ending: Ending, away: f64) {
+    fn leave(&mut self, client: usize, ending: LegOutcome, away: f64) {
         let now = self.now.get();
         if let Some((_, call, server)) = self.clients[client].stands.take() {
-            call.ended(now, 0, ending, true);
+            call.on_leg_ended(now, 0, ending, true);
             self.nodes.get_mut(&server).unwrap().holds.retain(|c| *c != client);
             self.clients[client].back_at = now + away * (0.5 + self.chance.rand_float());
         }
@@ -316,11 +319,11 @@
             let started = node.listed.started.unwrap_or(f64::NEG_INFINITY);
             let present = (SHARE + (1.0 - SHARE) * (now - started) / WARM).min(1.0);
             let bears = self.day.bears * node.listed.weight * present;
-            if node.listed.state == State::Draining {
+            if node.listed.state == ServerState::Draining {
                 let left = ((node.ends_at - now) / STEP).max(1.0);
                 let goes = (node.holds.len() as f64 / left).ceil() as usize;
                 let who: Vec<usize> = node.holds.iter().take(goes).copied().collect();
-                who.into_iter().for_each(|c| self.leave(c, Ending::Cancelled, 0.3));
+                who.into_iter().for_each(|c| self.leave(c, LegOutcome::Cancelled, 0.3));
             }
             loop {
                 let node = &self.nodes[&id];
@@ -331,7 +334,7 @@
                     // A first connection is borne, whatever its group costs.
                     Some(newest) if asked > bears.max(1.0 + GROUP) => {
                         let newest = *newest;
-                        self.leave(newest, Ending::Broken, 0.5);
+                        self.leave(newest, LegOutcome::Broken, 0.5);
                     }
                     _ => break,
                 }
@@ -340,7 +343,7 @@
         loop {
             let Some(call) = self.door.moved.borrow_mut().pop_front() else { break };
             if let Some(client) = self.by_call.remove(&call) {
-                self.leave(client, Ending::Cancelled, 0.3);
+                self.leave(client, LegOutcome::Cancelled, 0.3);
             }
         }
     }
@@ -352,21 +355,21 @@
         let part = if self.day.unequal && draw < 0.5 { draw / 4.0 } else { draw };
         let at = (part * self.day.balancers as f64) as usize;
         self.calls += 1;
-        let wanted = Wanted {
-            traffic: 0,
-            shop: None,
-            until: now + 3.0,
-            hint: None,
+        let wanted = CallRequest {
+            traffic_type: 0,
+            tenant: None,
+            deadline: now + 3.0,
+            load_hint: None,
             group: self.clients[client].group,
         };
-        let call = self.balancers[at].take(now, self.calls, wanted);
+        let call = self.balancers[at].accept_call(now, self.calls, wanted);
         let sent = self.door.sent.borrow_mut().pop_front();
         match sent {
             Some((_, server)) => {
                 let node = self.nodes.get_mut(&server).unwrap();
                 node.sent.push(now);
                 node.holds.push(client);
-                call.established(now, 0);
+                call.on_established(now, 0);
                 self.by_call.insert(self.calls, client);
                 self.clients[client].stands = Some((at, call, server));
             }
