--- a/crates/dewhead-lab/src/commands/compare.rs
+++ b/crates/dewhead-lab/src/commands/compare.rs
@@ -78,7 +78,7 @@
             return other_lab(Path::new(lab), file, &self.seeds);
         }
         let (of, who) = (runs::read(file)?, runs::who(who)?);
-        let points = of.points().map_err(|e| format!("{}: {e}", file.display()))?;
+        let points = of.matrix_points().map_err(|e| format!("{}: {e}", file.display()))?;
         let seeds = runs::seeds(&self.seeds)?;
         let tasks: Vec<Task> = points
             .iter()
@@ -89,7 +89,7 @@
         let played = runs::play_all(&tasks, true);
         Ok(played
             .into_iter()
-            .map(|p| (p.point, p.seed, p.outcome.service, p.outcome.worst_ten, p.breaches.len()))
+            .map(|p| (p.point, p.seed, p.outcome.service, p.outcome.worst_ten_seconds, p.breaches.len()))
             .collect())
     }
 }
--- a/crates/dewhead-lab/src/commands/demo.rs
+++ b/crates/dewhead-lab/src/commands/demo.rs
@@ -27,19 +27,20 @@
 
 /// What is shown: four nodes of two speeds, two proxies, and two troubles in the middle.
 fn shown(seconds: f64) -> Result<Experiment, String> {
-    let mut of =
-        Experiment::read("name = \"demo\"\nabout = \"a small fleet, a proxy's restart and a node's drain\"")?;
+    let mut of = Experiment::parse(
+        "name = \"demo\"\nabout = \"a small fleet, a proxy's restart and a node's drain\"",
+    )?;
     of.seconds = seconds;
     (of.fleet.proxies, of.fleet.nodes) = (2, 4);
     let trouble = |kind: &str, at: f64, lasts: f64, part: f64| Trouble {
         kind: kind.into(),
         at: at * seconds,
-        lasts: lasts * seconds,
-        part,
-        size: 4.0,
+        duration: lasts * seconds,
+        fraction: part,
+        magnitude: 4.0,
         at_a_time: 1,
         zone: None,
-        of: None,
+        subject: None,
     };
     of.troubles = vec![trouble("restart-stop", 0.35, 0.1, 0.5), trouble("drain", 0.65, 0.1, 0.25)];
     Ok(of)
@@ -75,14 +76,14 @@
     }
 
     fn show(&mut self, world: &mut World, now: f64) {
-        for (at, what) in &world.service.marks[self.marks.min(world.service.marks.len())..] {
+        for (at, what) in &world.service.annotations[self.marks.min(world.service.annotations.len())..] {
             if self.plain {
                 eprintln!("{at:>7.1} s  {what}");
             } else {
                 self.line.println(format!("{at:>7.1} s  {what}"));
             }
         }
-        self.marks = world.service.marks.len();
+        self.marks = world.service.annotations.len();
         for (node, bar) in world.nodes.iter().zip(&self.bars) {
             let able = node.capacity(now).max(1e-9);
             bar.set_position((node.load() / able * 1000.0).clamp(0.0, 1000.0) as u64);
@@ -90,7 +91,7 @@
                 "{:.2} of {:.1} cores, {} connections, {:?}",
                 node.load(),
                 able,
-                node.held,
+                node.connections,
                 node.state
             );
             bar.set_message(more);
@@ -105,7 +106,7 @@
             c.rejected,
             c.failed + c.unanswered,
             c.moved,
-            world.audit.breaches.len()
+            world.audit.violations.len()
         );
         if self.plain && now >= self.next {
             self.next = now + 5.0;
@@ -146,12 +147,12 @@
         println!(
             "served well: {:.1} % of the revenue asked for; {:.1} % in the worst ten seconds",
             o.service * 100.0,
-            o.worst_ten * 100.0
+            o.worst_ten_seconds * 100.0
         );
         println!(
             "set-up: half within {:.0} ms, 99 in a hundred within {:.0} ms",
-            o.set_up[0] * 1e3,
-            o.set_up[1] * 1e3
+            o.setup_times[0] * 1e3,
+            o.setup_times[1] * 1e3
         );
         println!("moved {}, broken {}, rules broken: {}", c.moved, c.broken, played.breaches.len());
         for breach in &played.breaches {
--- a/crates/dewhead-lab/src/commands/hunt.rs
+++ b/crates/dewhead-lab/src/commands/hunt.rs
@@ -58,7 +58,7 @@
                 let mut small = hunt::shrink(find);
                 let kinds = hunt::kinds(&small.of).join(", ");
                 small.of.name = format!("worst-{}", n + 1);
-                small.of.about = format!(
+                small.of.description = format!(
                     "found by a hunt and shrunk: {kinds}; the top reaches {:.3} there and dewhead {:.3}",
                     small.top, small.service
                 );
@@ -78,7 +78,9 @@
         .of
         .troubles
         .iter()
-        .map(|t| format!("{} at {} for {} (part {}, size {})", t.kind, t.at, t.lasts, t.part, t.size))
+        .map(|t| {
+            format!("{} at {} for {} (part {}, size {})", t.kind, t.at, t.duration, t.fraction, t.magnitude)
+        })
         .collect();
     format!(
         "{place}. loses {:.3}: top {:.3}, dewhead {:.3}, breaches {}, load {}; {}",
--- a/crates/dewhead-lab/src/commands/kinds.rs
+++ b/crates/dewhead-lab/src/commands/kinds.rs
@@ -1,7 +1,7 @@
 //! `kinds`: the troubles that there are.
 
 use argh::FromArgs;
-use dewhead_world::troubles::KINDS;
+use dewhead_world::troubles::TROUBLE_KINDS;
 
 /// List the kinds of trouble that an experiment can name.
 #[derive(FromArgs)]
@@ -10,8 +10,8 @@
 
 impl Kinds {
     pub fn carry_out(&self) -> Result<bool, String> {
-        for kind in KINDS {
-            println!("{:<18} {}", kind.name, kind.about);
+        for kind in TROUBLE_KINDS {
+            println!("{:<18} {}", kind.name, kind.description);
         }
         Ok(true)
     }
--- a/crates/dewhead-lab/src/commands/replay.rs
+++ b/crates/dewhead-lab/src/commands/replay.rs
@@ -26,14 +26,14 @@
 impl Replay {
     pub fn carry_out(&self) -> Result<bool, String> {
         let of = runs::read(&self.file)?;
-        let points = of.points().map_err(|e| format!("{}: {e}", self.file.display()))?;
+        let points = of.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
         let (point, of) = points.get(self.point).ok_or("--point: the matrix has fewer points")?.clone();
         let played = runs::play(&Task { point, of, seed: self.seed, who: runs::who(&self.who)? });
         tell(&played);
         for (at, what) in &played.marks {
             println!("{at:>10.3}  {what}");
         }
-        for (second, (wanted, served)) in played.outcome.wanted.iter().zip(&played.outcome.served).enumerate()
+        for (second, (wanted, served)) in played.outcome.demand.iter().zip(&played.outcome.served).enumerate()
         {
             let share = if *wanted > 0.0 { served / wanted } else { 1.0 };
             let bar = "#".repeat((share * 60.0).round().clamp(0.0, 60.0) as usize);
--- a/crates/dewhead-lab/src/commands/run.rs
+++ b/crates/dewhead-lab/src/commands/run.rs
@@ -44,7 +44,7 @@
 impl Run {
     pub fn carry_out(&self) -> Result<bool, String> {
         let of = runs::read(&self.file)?;
-        let points = of.points().map_err(|e| format!("{}: {e}", self.file.display()))?;
+        let points = of.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
         let seeds = self.seeds.as_deref().map_or(Ok(of.seeds.clone()), runs::seeds)?;
         let who = runs::who(&self.who)?;
         let tasks: Vec<Task> = points
@@ -62,7 +62,7 @@
             runs::write(dir, &points, &played)?;
         }
         if !self.quiet {
-            println!("{}: {}", of.name, of.about);
+            println!("{}: {}", of.name, of.description);
             played.iter().for_each(tell);
         }
         let file = self.file.display().to_string();
@@ -113,17 +113,17 @@
          completed {}  rejected {}  failed {}  moved {}  broken {}  fallen {}  breaches {}  {:.0} s/s{point}",
         one.seed,
         o.service,
-        o.worst_ten,
+        o.worst_ten_seconds,
         o.worst_type,
-        o.set_up[0] * 1e3,
-        o.set_up[1] * 1e3,
+        o.setup_times[0] * 1e3,
+        o.setup_times[1] * 1e3,
         c.completed,
         c.rejected,
         c.failed + c.unanswered,
         c.moved,
         c.broken,
-        c.nodes_fallen,
+        c.nodes_crashed,
         one.breaches.len(),
-        one.outcome.wanted.len() as f64 / one.took.max(1e-9),
+        one.outcome.demand.len() as f64 / one.took.max(1e-9),
     );
 }
--- a/crates/dewhead-lab/src/commands/soak.rs
+++ b/crates/dewhead-lab/src/commands/soak.rs
@@ -82,7 +82,7 @@
         let call = breach.call.as_deref().unwrap_or("none");
         println!(
             "  breach of {:?} at {:.3} s, proxy {}, call {call}: {}",
-            breach.rule, breach.at, breach.proxy, breach.what
+            breach.rule, breach.at, breach.proxy, breach.description
         );
         for (at, what) in &breach.trace {
             println!("    {at:>10.4}  {what}");
--- a/crates/dewhead-lab/src/commands/table.rs
+++ b/crates/dewhead-lab/src/commands/table.rs
@@ -27,7 +27,7 @@
         let mut sound = true;
         for file in &self.files {
             let of = runs::read(file)?;
-            for (point, of) in of.points().map_err(|e| format!("{}: {e}", file.display()))? {
+            for (point, of) in of.matrix_points().map_err(|e| format!("{}: {e}", file.display()))? {
                 let mut tasks = Vec::new();
                 for name in &names {
                     let who = runs::who(name)?;
@@ -48,7 +48,8 @@
                 let place = (stats::mean(&service("dewhead")) - random) / (top - random);
                 // Where random does as well as the top, there is nothing in between.
                 let place = if top - random > 0.01 { format!("{place:.2}") } else { "-".into() };
-                let worst: Vec<f64> = of_name("dewhead").iter().map(|p| p.outcome.worst_ten).collect();
+                let worst: Vec<f64> =
+                    of_name("dewhead").iter().map(|p| p.outcome.worst_ten_seconds).collect();
                 let broken: Vec<String> = names
                     .iter()
                     .map(|n| of_name(n).iter().map(|p| p.breaches.len()).sum::<usize>())
--- a/crates/dewhead-lab/src/hunt.rs
+++ b/crates/dewhead-lab/src/hunt.rs
@@ -6,9 +6,9 @@
 use crate::policy::Policy;
 use crate::runs::{play, Task};
 use crate::simulated::Who;
-use dewhead_world::chance::{Chance, Of};
 use dewhead_world::experiment::{Experiment, Trouble};
-use dewhead_world::troubles::KINDS;
+use dewhead_world::random::{RandomStream, StreamPurpose};
+use dewhead_world::troubles::TROUBLE_KINDS;
 use rayon::prelude::*;
 
 /// A day and how bad it is.
@@ -53,59 +53,62 @@
 }
 
 /// One trouble, drawn so that each kind means something.
-fn trouble(chance: &mut Chance, seconds: f64) -> Trouble {
-    let kind = &KINDS[chance.place(KINDS.len())];
+fn trouble(chance: &mut RandomStream, seconds: f64) -> Trouble {
+    let kind = &TROUBLE_KINDS[chance.index(TROUBLE_KINDS.len())];
     let (part, size) = match kind.name {
         "burst" => (0.5, [1.3, 3.0]),
         "flood" => (0.5, [2.0, 8.0]),
-        "heavy-tail" => (chance.within([0.01, 0.05]), [5.0, 30.0]),
-        "neighbour" => (chance.within([0.1, 0.6]), [1.3, 3.0]),
+        "heavy-tail" => (chance.uniform_in([0.01, 0.05]), [5.0, 30.0]),
+        "neighbour" => (chance.uniform_in([0.1, 0.6]), [1.3, 3.0]),
         "slow-network" => (0.5, [2.0, 20.0]),
         "bad-clients" => (0.5, [10.0, 150.0]),
         "discovery-late" => (0.5, [3.0, 20.0]),
-        "drain" | "restart-stop" | "restart-kill" | "reconfigure" => (chance.within([0.3, 1.0]), [1.0, 4.0]),
-        _ => (chance.within([0.1, 0.5]), [2.0, 20.0]),
+        "drain" | "restart-stop" | "restart-kill" | "reconfigure" => {
+            (chance.uniform_in([0.3, 1.0]), [1.0, 4.0])
+        }
+        _ => (chance.uniform_in([0.1, 0.5]), [2.0, 20.0]),
     };
     Trouble {
         kind: kind.name.into(),
-        at: figure(chance.within([8.0, seconds * 0.6])),
-        lasts: figure(chance.within([1.0, seconds * 0.4])),
-        part: figure(part),
-        size: figure(chance.within(size)),
-        at_a_time: 1 + chance.place(2),
+        at: figure(chance.uniform_in([8.0, seconds * 0.6])),
+        duration: figure(chance.uniform_in([1.0, seconds * 0.4])),
+        fraction: figure(part),
+        magnitude: figure(chance.uniform_in(size)),
+        at_a_time: 1 + chance.index(2),
         zone: None,
-        of: None,
+        subject: None,
     }
 }
 
 /// A day near this one: one trouble more, less, or moved.
-fn near(of: &Experiment, chance: &mut Chance) -> Experiment {
+fn near(of: &Experiment, chance: &mut RandomStream) -> Experiment {
     let mut of = of.clone();
     let many = of.troubles.len();
-    match chance.place(4) {
+    match chance.index(4) {
         0 if many < MOST => of.troubles.push(trouble(chance, of.seconds)),
         1 if many > 1 => {
-            of.troubles.remove(chance.place(many));
+            of.troubles.remove(chance.index(many));
         }
         2 if many > 0 => {
-            let n = chance.place(many);
+            let n = chance.index(many);
             of.troubles[n] = trouble(chance, of.seconds);
         }
         _ if many > 0 => {
-            let n = chance.place(many);
-            let (at, lasts) = (of.troubles[n].at, of.troubles[n].lasts);
-            of.troubles[n].at = figure((at + chance.within([-6.0, 6.0])).clamp(7.0, of.seconds * 0.7));
-            of.troubles[n].lasts = figure((lasts * chance.within([0.5, 1.8])).clamp(0.5, of.seconds * 0.5));
+            let n = chance.index(many);
+            let (at, lasts) = (of.troubles[n].at, of.troubles[n].duration);
+            of.troubles[n].at = figure((at + chance.uniform_in([-6.0, 6.0])).clamp(7.0, of.seconds * 0.7));
+            of.troubles[n].duration =
+                figure((lasts * chance.uniform_in([0.5, 1.8])).clamp(0.5, of.seconds * 0.5));
         }
         _ => of.troubles.push(trouble(chance, of.seconds)),
     }
     of
 }
 
-fn drawn(base: &Experiment, chance: &mut Chance) -> Experiment {
+fn drawn(base: &Experiment, chance: &mut RandomStream) -> Experiment {
     let mut of = base.clone();
-    of.load.utilisation = figure(chance.within([0.35, 0.7]));
-    of.troubles = (0..1 + chance.place(MOST)).map(|_| trouble(chance, of.seconds)).collect();
+    of.load.utilisation = figure(chance.uniform_in([0.35, 0.7]));
+    of.troubles = (0..1 + chance.index(MOST)).map(|_| trouble(chance, of.seconds)).collect();
     of
 }
 
@@ -131,12 +134,12 @@
         }
         let days: Vec<Experiment> = (0..16)
             .map(|n| {
-                let mut chance = Chance::of(seed, Of::Search, (round as u64) << 8 | n);
+                let mut chance = RandomStream::new(seed, StreamPurpose::Search, (round as u64) << 8 | n);
                 // Half are new, half lie near the worst that are known.
                 if n % 2 == 0 || best.is_empty() {
                     drawn(base, &mut chance)
                 } else {
-                    let from = chance.place(best.len());
+                    let from = chance.index(best.len());
                     near(&best[from].of, &mut chance)
                 }
             })
@@ -183,9 +186,9 @@
                 change(&mut milder.troubles[n]);
                 milder
             };
-            tries.push(change(&|t| t.lasts = figure((t.lasts / 2.0).max(0.5))));
-            tries.push(change(&|t| t.size = figure((1.0 + (t.size - 1.0) / 2.0).max(1.0))));
-            tries.push(change(&|t| t.part = figure(t.part / 2.0)));
+            tries.push(change(&|t| t.duration = figure((t.duration / 2.0).max(0.5))));
+            tries.push(change(&|t| t.magnitude = figure((1.0 + (t.magnitude - 1.0) / 2.0).max(1.0))));
+            tries.push(change(&|t| t.fraction = figure(t.fraction / 2.0)));
         }
         let mut calmer = small.of.clone();
         calmer.load.utilisation = figure(calmer.load.utilisation - 0.1);
@@ -208,6 +211,6 @@
 
 /// How much there is to a day, for the shrinking: each trouble counts, then how long and how hard it is.
 fn size(of: &Experiment) -> f64 {
-    let each = of.troubles.iter().map(|t| 10.0 + 0.1 * t.lasts + 0.1 * t.size + t.part);
+    let each = of.troubles.iter().map(|t| 10.0 + 0.1 * t.duration + 0.1 * t.magnitude + t.fraction);
     each.sum::<f64>() + of.load.utilisation
 }
--- a/crates/dewhead-lab/src/policy.rs
+++ b/crates/dewhead-lab/src/policy.rs
@@ -1,6 +1,6 @@
 //! Baselines: plain ways to place a connection, and a top that sees what no proxy can.
 
-use dewhead_world::nodes::State;
+use dewhead_world::nodes::NodeState;
 use dewhead_world::world::World;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -45,12 +45,12 @@
     let one = |n: usize| {
         let node = &world.nodes[n];
         let truth = Truth {
-            up: node.state == State::Up,
+            up: node.state == NodeState::Up,
             zone: node.zone,
             capacity: node.capacity(now),
             load: node.load(),
-            delay: node.delay(now),
-            errors: node.errors,
+            delay: node.queueing_delay(now),
+            errors: node.error_share,
         };
         (world.node_name(n).to_owned(), truth)
     };
--- a/crates/dewhead-lab/src/runs.rs
+++ b/crates/dewhead-lab/src/runs.rs
@@ -2,7 +2,7 @@
 
 use crate::policy;
 use crate::simulated::{Simulated, Who};
-use dewhead_world::audit::Breach;
+use dewhead_world::audit::Violation;
 use dewhead_world::experiment::Experiment;
 use dewhead_world::service::Outcome;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -31,7 +31,7 @@
     pub who: String,
     pub host: &'static str,
     pub outcome: Outcome,
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// On sockets: by how much the lab itself was late at the worst, in seconds; a run is marked late beyond a quarter
     /// of the shortest setup target.
     pub lateness: f64,
@@ -99,7 +99,7 @@
         who: name_of(task.who),
         host: "simulated",
         outcome: world.outcome(),
-        breaches: std::mem::take(&mut world.audit.breaches),
+        breaches: std::mem::take(&mut world.audit.violations),
         lateness: 0.0,
         late: false,
         digest: format!("{:08x}", world.digest()),
@@ -107,7 +107,7 @@
         took: began.elapsed().as_secs_f64(),
         nodes: std::mem::take(&mut world.service.nodes),
         proxies: std::mem::take(&mut world.service.proxies),
-        marks: std::mem::take(&mut world.service.marks),
+        marks: std::mem::take(&mut world.service.annotations),
     }
 }
 
@@ -145,7 +145,7 @@
 /// Reads an experiment's file; a fault names the file and the key.
 pub fn read(path: &Path) -> Result<Experiment, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Experiment::read(&text).map_err(|e| format!("{}: {e}", path.display()))
+    Experiment::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Writes runs as JSON lines, and each point's experiment, so that any run can be played again.
@@ -165,11 +165,11 @@
 }
 
 /// What a breach comes with: the whole story of the call, and how to see it again.
-pub fn tell_breach(breach: &Breach, file: &str, seed: u64, who: &str) {
+pub fn tell_breach(breach: &Violation, file: &str, seed: u64, who: &str) {
     let call = breach.call.as_deref().map_or(String::new(), |c| format!(", call {c}"));
     println!(
         "breach of {:?} at {:.3} s, proxy {}{call}: {}",
-        breach.rule, breach.at, breach.proxy, breach.what
+        breach.rule, breach.at, breach.proxy, breach.description
     );
     for (at, what) in &breach.trace {
         println!("    {at:>10.4}  {what}");
--- a/crates/dewhead-lab/src/scale/hollow.rs
+++ b/crates/dewhead-lab/src/scale/hollow.rs
@@ -6,7 +6,7 @@
 use dewhead_proxy::wire::http;
 use dewhead_startup::Startup;
 use dewhead_world::experiment::Experiment;
-use dewhead_world::settings::settings;
+use dewhead_world::settings::proxy_settings;
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
 use serde::{Deserialize, Serialize};
@@ -62,10 +62,10 @@
 
 /// The settings of hollow and real proxies alike.
 pub fn told(position: usize, siblings: usize) -> Result<Value, String> {
-    let mut of = Experiment::read("name = \"scale\"\nabout = \"hollow\"")?;
+    let mut of = Experiment::parse("name = \"scale\"\nabout = \"hollow\"")?;
     of.fleet.zones = vec!["a".into()];
     of.fleet.proxies = siblings.max(1);
-    Ok(settings(&of, position))
+    Ok(proxy_settings(&of, position))
 }
 
 struct Hollow {
--- a/crates/dewhead-lab/src/simulated.rs
+++ b/crates/dewhead-lab/src/simulated.rs
@@ -9,7 +9,7 @@
 use dewhead_startup::Startup;
 use dewhead_world::discovery::EPOCH;
 use dewhead_world::experiment::Experiment;
-use dewhead_world::settings::settings;
+use dewhead_world::settings::proxy_settings;
 use dewhead_world::world::{self, LinkKey, Signal, Target, World};
 use serde_json::Value;
 use slotmap::SecondaryMap;
@@ -136,7 +136,7 @@
 impl Simulated {
     pub fn new(of: &Experiment, seed: u64, who: Who) -> Simulated {
         let mut world = World::new(of, seed);
-        world.address_nodes(|_, n| node_address(n).to_string());
+        world.set_node_addresses(|_, n| node_address(n).to_string());
         let proxies = world.proxies.len();
         Simulated {
             world,
@@ -156,7 +156,7 @@
     /// Plays until this second.
     pub fn run(&mut self, until: f64) {
         loop {
-            let world = self.world.next_due().unwrap_or(f64::INFINITY);
+            let world = self.world.next_event_time().unwrap_or(f64::INFINITY);
             let process = self.next_process();
             let at = process.map_or(f64::INFINITY, |(due, _)| due - EPOCH);
             if world.min(at) > until {
@@ -199,7 +199,7 @@
     fn carry_out(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         loop {
-            self.world.effects(&mut effects);
+            self.world.take_effects(&mut effects);
             if effects.is_empty() {
                 break;
             }
@@ -232,10 +232,10 @@
                     self.processes[process] = None;
                 }
                 self.at.retain(|_, (process, _)| self.processes[*process].is_some());
-                self.world.gone(self.now, p);
+                self.world.on_exit(self.now, p);
             }
-            world::Effect::Renew(p, address) => {
-                let event = Event::Renewed(agent_address(address), self.world.of.proxy.sockets);
+            world::Effect::Reconfigure(p, address) => {
+                let event = Event::Renewed(agent_address(address), self.world.experiment.proxy.sockets);
                 if let Some(p) = self.current[p] {
                     self.tell(p, clock, event, &[]);
                 }
@@ -248,11 +248,11 @@
                     self.accept(p);
                 }
             }
-            world::Effect::Up(key) => match self.whose(key) {
+            world::Effect::Established(key) => match self.whose(key) {
                 Some((p, At::Leg(leg))) => self.tell(p, clock, Event::Connected(leg), &[]),
                 Some((p, At::Watch)) => {
                     let since = self.processes[p].as_ref().map_or(0, |one| one.since);
-                    self.world.said(self.now, key, &http::follow("discovery", since));
+                    self.world.on_bytes(self.now, key, &http::follow("discovery", since));
                     self.tell(p, clock, Event::WatchOpen, &[]);
                 }
                 _ => {}
@@ -273,7 +273,7 @@
                 None => {}
             },
             world::Effect::End(key, how) => {
-                let how = if how == world::How::Broken { How::Broken } else { How::Closed };
+                let how = if how == world::EndKind::Broken { How::Broken } else { How::Closed };
                 match self.whose(key) {
                     Some((p, At::Client(slot))) => {
                         self.tell(p, clock, Event::Closed(End::Client(slot), how), &[])
@@ -281,7 +281,7 @@
                     Some((p, At::Leg(leg))) => self.tell(p, clock, Event::Closed(End::Server(leg), how), &[]),
                     Some((p, At::Watch)) => {
                         self.at.remove(key);
-                        self.world.ended(self.now, key, world::How::Closed);
+                        self.world.on_end(self.now, key, world::EndKind::Closed);
                         self.lose_watch(p);
                     }
                     None => {}
@@ -310,7 +310,7 @@
     fn start(&mut self, p: usize, known: &Value) {
         if self.current[p].is_none() {
             self.begin(p, known, None);
-            self.world.ready(self.now, p);
+            self.world.on_listening(self.now, p);
         }
     }
 
@@ -329,8 +329,8 @@
 
     fn begin(&mut self, p: usize, known: &Value, handed: Option<&known::Handed>) {
         let clock = self.clock();
-        let (of, seed) = (&self.world.of, u128::from(self.world.proxy_seed(p)));
-        let startup = Startup::read(&settings(of, p)).expect("the settings are the world's own");
+        let (of, seed) = (&self.world.experiment, u128::from(self.world.proxy_seed(p)));
+        let startup = Startup::read(&proxy_settings(of, p)).expect("the settings are the world's own");
         let discovery = agent_address(self.world.discovery_address(p));
         let plain = |policy, fault, startup| {
             let truths = self.truths.clone();
@@ -384,13 +384,13 @@
             self.current[of] = None;
         }
         if self.processes_of(of).is_empty() {
-            return self.world.gone(self.now, of);
+            return self.world.on_exit(self.now, of);
         }
         if served {
-            self.world.stops_listening(self.now, of);
+            self.world.on_listener_closed(self.now, of);
         }
         for key in held {
-            self.world.ended(self.now, key, world::How::Broken);
+            self.world.on_end(self.now, key, world::EndKind::Broken);
         }
     }
 
@@ -429,7 +429,7 @@
 
     fn say(&mut self, p: usize, end: End, bytes: &[u8]) {
         if let Some(key) = self.link(p, end).filter(|_| !bytes.is_empty()) {
-            self.world.said(self.now, key, bytes);
+            self.world.on_bytes(self.now, key, bytes);
         }
     }
 
@@ -451,7 +451,7 @@
                     }
                 }
                 Effect::Dial(leg, to) => {
-                    let key = self.world.dialled(self.now, of, Target::Node(place(to)));
+                    let key = self.world.on_dial(self.now, of, Target::Node(place(to)));
                     self.at.insert(key, (p, At::Leg(leg)));
                     if let Some(process) = &mut self.processes[p] {
                         put(&mut process.legs, leg, key);
@@ -472,14 +472,15 @@
                 Effect::Text(end, text) => self.say(p, end, &text),
                 Effect::Finish(end) => {
                     if let Some(key) = self.link(p, end) {
-                        self.world.ended(self.now, key, world::How::Finished);
+                        self.world.on_end(self.now, key, world::EndKind::Finished);
                     }
                 }
                 Effect::Close(end, how) => {
                     if let Some(key) = self.link(p, end) {
-                        let how = if how == How::Broken { world::How::Broken } else { world::How::Closed };
+                        let how =
+                            if how == How::Broken { world::EndKind::Broken } else { world::EndKind::Closed };
                         self.at.remove(key);
-                        self.world.ended(self.now, key, how);
+                        self.world.on_end(self.now, key, how);
                         if let Some(process) = &mut self.processes[p] {
                             match end {
                                 End::Client(slot) => process.clients[slot] = None,
@@ -496,7 +497,7 @@
                 }
                 Effect::Follow(to, since) => {
                     self.unfollow(p);
-                    let key = self.world.dialled(self.now, of, Target::Agent(place(to)));
+                    let key = self.world.on_dial(self.now, of, Target::Agent(place(to)));
                     self.at.insert(key, (p, At::Watch));
                     if let Some(process) = &mut self.processes[p] {
                         (process.watch, process.since) = (Some(key), since);
@@ -532,7 +533,7 @@
     fn unfollow(&mut self, p: usize) {
         if let Some(key) = self.processes[p].as_mut().and_then(|one| one.watch.take()) {
             self.at.remove(key);
-            self.world.ended(self.now, key, world::How::Closed);
+            self.world.on_end(self.now, key, world::EndKind::Closed);
         }
     }
 }
--- a/crates/dewhead-lab/src/soak.rs
+++ b/crates/dewhead-lab/src/soak.rs
@@ -3,9 +3,9 @@
 
 use crate::sockets::{FaultInjection, Programs, Sockets};
 use dewhead_faults::plan::{ClockStep, Plan};
-use dewhead_world::audit::Breach;
-use dewhead_world::chance::{Chance, Of};
+use dewhead_world::audit::Violation;
 use dewhead_world::experiment::{Experiment, Trouble};
+use dewhead_world::random::{RandomStream, StreamPurpose};
 use std::path::{Path, PathBuf};
 
 /// Kinds that mean something to a fleet of processes on loopback.
@@ -74,7 +74,7 @@
     pub service: f64,
     pub completed: u64,
     pub unanswered: u64,
-    pub breaches: Vec<Breach>,
+    pub breaches: Vec<Violation>,
     /// Processes that ended badly, and lines of the proxies' logs that tell of a broken promise or a panic.
     pub faults: Vec<String>,
     /// By how much the lab itself came late at the worst, in seconds.
@@ -96,49 +96,49 @@
     (x * 100.0).round() / 100.0
 }
 
-fn trouble(chance: &mut Chance, kind: &str, begins: f64, seconds: f64) -> Trouble {
+fn trouble(chance: &mut RandomStream, kind: &str, begins: f64, seconds: f64) -> Trouble {
     let size = match kind {
-        "bad-clients" => chance.within([10.0, 40.0]),
-        "slow-network" | "discovery-late" | "signal-series" => chance.within([2.0, 8.0]),
-        "idle-crowd" => chance.within(CROWD),
-        _ => chance.within([1.0, 4.0]),
+        "bad-clients" => chance.uniform_in([10.0, 40.0]),
+        "slow-network" | "discovery-late" | "signal-series" => chance.uniform_in([2.0, 8.0]),
+        "idle-crowd" => chance.uniform_in(CROWD),
+        _ => chance.uniform_in([1.0, 4.0]),
     };
     let part = match kind {
         "restart-stop" | "restart-kill" | "reconfigure" | "handover" | "signal-series" | "handover-stop" => {
-            chance.within([0.3, 1.0])
+            chance.uniform_in([0.3, 1.0])
         }
-        _ => chance.within([0.2, 0.5]),
+        _ => chance.uniform_in([0.2, 0.5]),
     };
     Trouble {
         kind: kind.to_owned(),
-        at: hundredths(begins + chance.within([0.0, OVERLAP])),
-        lasts: hundredths(chance.within([1.0, seconds * 0.4])),
-        part: hundredths(part),
-        size: hundredths(size),
-        at_a_time: 1 + chance.place(3),
+        at: hundredths(begins + chance.uniform_in([0.0, OVERLAP])),
+        duration: hundredths(chance.uniform_in([1.0, seconds * 0.4])),
+        fraction: hundredths(part),
+        magnitude: hundredths(size),
+        at_a_time: 1 + chance.index(3),
         zone: None,
-        of: None,
+        subject: None,
     }
 }
 
 /// What is drawn apart, so that the rest of a seed's day stays what it was.
-fn add_signals_and_crowds(chance: &mut Chance, of: &mut Experiment, begins: f64) {
-    of.clients.line_every = hundredths(chance.within(LINE_EVERY));
-    of.clients.lingering = hundredths(chance.within([0.0, MOST_LINGERING]));
-    let kind = SIGNALS_AND_RESETS[chance.place(SIGNALS_AND_RESETS.len())];
+fn add_signals_and_crowds(chance: &mut RandomStream, of: &mut Experiment, begins: f64) {
+    of.clients.line_interval = hundredths(chance.uniform_in(LINE_EVERY));
+    of.clients.ignore_move_share = hundredths(chance.uniform_in([0.0, MOST_LINGERING]));
+    let kind = SIGNALS_AND_RESETS[chance.index(SIGNALS_AND_RESETS.len())];
     of.troubles.push(trouble(chance, kind, begins, of.seconds));
-    if chance.within([0.0, 1.0]) < CROWDED_DAYS {
+    if chance.uniform_in([0.0, 1.0]) < CROWDED_DAYS {
         of.proxy.sockets = CROWDED_DESCRIPTORS;
         of.troubles.push(trouble(chance, "idle-crowd", begins, of.seconds));
     }
 }
 
 /// Each fault is in one day of two, so that days differ in what meets.
-fn plan(chance: &mut Chance, seed: u64, begins: f64) -> Plan {
-    let drawn = |chance: &mut Chance, most: f64| {
-        let happens = chance.within([0.0, 1.0]) < 0.5;
+fn plan(chance: &mut RandomStream, seed: u64, begins: f64) -> Plan {
+    let drawn = |chance: &mut RandomStream, most: f64| {
+        let happens = chance.uniform_in([0.0, 1.0]) < 0.5;
         if happens {
-            hundredths(chance.within([0.01, most]))
+            hundredths(chance.uniform_in([0.01, most]))
         } else {
             0.0
         }
@@ -146,7 +146,7 @@
     let (short, interrupt) = (drawn(chance, 0.4), drawn(chance, 0.2));
     let (accept, socket, connect, open) =
         (drawn(chance, 0.3), drawn(chance, 0.1), drawn(chance, 0.1), drawn(chance, 0.5));
-    let by = [0.0, HOUR, -HOUR][chance.place(3)];
+    let by = [0.0, HOUR, -HOUR][chance.index(3)];
     let step = ClockStep { from: begins, by };
     let unreachable = drawn(chance, 1.0);
     Plan { seed, short, interrupt, accept, socket, connect, open, unreachable, step }
@@ -155,20 +155,20 @@
 impl Day {
     /// The day that this seed draws.
     pub fn drawn(size: Size, seed: u64) -> Day {
-        let mut chance = Chance::of(seed, Of::Search, 0);
-        let begins = hundredths(chance.within(BEGINS));
-        let count = FEWEST + chance.place(MOST - FEWEST + 1);
+        let mut chance = RandomStream::new(seed, StreamPurpose::Search, 0);
+        let begins = hundredths(chance.uniform_in(BEGINS));
+        let count = FEWEST + chance.index(MOST - FEWEST + 1);
         let mut of =
             Experiment { name: format!("soak-{seed}"), seconds: size.seconds, ..Experiment::default() };
         (of.fleet.proxies, of.fleet.nodes) = (size.proxies, size.nodes);
-        of.load.utilisation = hundredths(chance.within([0.2, 0.4]));
+        of.load.utilisation = hundredths(chance.uniform_in([0.2, 0.4]));
         let mut kinds = KINDS.to_vec();
         while of.troubles.len() < count {
-            let kind = kinds.remove(chance.place(kinds.len()));
+            let kind = kinds.remove(chance.index(kinds.len()));
             of.troubles.push(trouble(&mut chance, kind, begins, size.seconds));
         }
         let plan = plan(&mut chance, seed, begins);
-        add_signals_and_crowds(&mut Chance::of(seed, Of::Search, 1), &mut of, begins);
+        add_signals_and_crowds(&mut RandomStream::new(seed, StreamPurpose::Search, 1), &mut of, begins);
         Day { seed, of, plan }
     }
 
@@ -194,13 +194,13 @@
                 .of
                 .troubles
                 .iter()
-                .map(|t| format!("{} at {} for {}", t.kind, t.at, t.lasts))
+                .map(|t| format!("{} at {} for {}", t.kind, t.at, t.duration))
                 .collect(),
             plan: self.plan,
             service: outcome.service,
             completed: outcome.counts.completed,
             unanswered: outcome.counts.unanswered,
-            breaches: std::mem::take(&mut host.world.audit.breaches),
+            breaches: std::mem::take(&mut host.world.audit.violations),
             faults: std::mem::take(&mut host.crashes),
             lateness: host.lateness,
         };
--- a/crates/dewhead-lab/src/sockets.rs
+++ b/crates/dewhead-lab/src/sockets.rs
@@ -9,8 +9,8 @@
 use addresses::Claim;
 use dewhead_faults::plan::Plan;
 use dewhead_world::experiment::Experiment;
-use dewhead_world::nodes::State;
-use dewhead_world::world::{Effect, How, LinkKey, Signal, Target, World};
+use dewhead_world::nodes::NodeState;
+use dewhead_world::world::{Effect, EndKind, LinkKey, Signal, Target, World};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use processes::Process;
@@ -136,7 +136,7 @@
     pub fn new(of: &Experiment, seed: u64, programs: Programs) -> Result<Sockets, String> {
         raise_limit();
         let mut world = World::new(of, seed);
-        world.audit.slack = SLACK;
+        world.audit.observation_slack = SLACK;
         let poll = Poll::new().map_err(|e| told("poll", e))?;
         let proxies = world.proxies.len();
         let claim = Claim::take()?;
@@ -169,13 +169,13 @@
             }
             host.listen(p, Target::Agent(0))?;
         }
-        host.world.address_nodes(|p, n| places[p][n].to_string());
+        host.world.set_node_addresses(|p, n| places[p][n].to_string());
         host.began = Instant::now();
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).map_err(|e| told("the clock", e))?;
         let epoch = epoch.as_secs_f64();
-        host.world.begins_at(epoch);
+        host.world.set_epoch(epoch);
         if let Some(faults) = &mut host.programs.faults {
-            host.world.steps_clock(faults.plan.step.from, faults.plan.step.by);
+            host.world.schedule_clock_step(faults.plan.step.from, faults.plan.step.by);
             faults.plan.step.from += epoch;
         }
         Ok(host)
@@ -208,7 +208,7 @@
             if now >= until {
                 return Ok(());
             }
-            if let Some(due) = self.world.next_due().filter(|due| *due <= now) {
+            if let Some(due) = self.world.next_event_time().filter(|due| *due <= now) {
                 if due > COUNTED_FROM {
                     self.lateness = self.lateness.max(now - due);
                 }
@@ -228,7 +228,7 @@
                 each(&mut self.world, now);
             }
             let now = self.now();
-            let due = self.world.next_due().unwrap_or(until).min(now + WAKE);
+            let due = self.world.next_event_time().unwrap_or(until).min(now + WAKE);
             let wait = Duration::from_secs_f64((due - now).clamp(0.0, WAKE));
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
@@ -249,7 +249,7 @@
     fn carry_out(&mut self) -> Result<(), String> {
         let mut effects = Vec::new();
         loop {
-            self.world.effects(&mut effects);
+            self.world.take_effects(&mut effects);
             if effects.is_empty() {
                 return Ok(());
             }
@@ -267,9 +267,9 @@
                 Err(e) if e.kind() == io::ErrorKind::AddrNotAvailable || e.raw_os_error() == Some(24) => {
                     return Err(told("the lab has run out of ports or descriptors", e));
                 }
-                Err(_) => self.world.ended(now, link, How::Broken),
+                Err(_) => self.world.on_end(now, link, EndKind::Broken),
             },
-            Effect::Up(link) => {
+            Effect::Established(link) => {
                 if let Some(&slot) = self.at.get(link) {
                     self.sockets[slot].shy = false;
                     self.read(slot);
@@ -288,10 +288,10 @@
             }
             Effect::End(link, how) => {
                 if let Some(&slot) = self.at.get(link) {
-                    if how == How::Broken {
+                    if how == EndKind::Broken {
                         abort(&self.sockets[slot].stream);
                         self.drop_socket(slot);
-                        self.world.ended(now, link, How::Broken);
+                        self.world.on_end(now, link, EndKind::Broken);
                     } else {
                         self.sockets[slot].done = true;
                         self.flush(slot);
@@ -304,7 +304,7 @@
             Effect::Signal(p, Signal::Reload) => self.signal(p, rustix::process::Signal::HUP),
             Effect::Signal(p, Signal::Kill) => self.kill_all(p)?,
             Effect::Handover(p, leave_in) => self.hand_over(p, leave_in)?,
-            Effect::Renew(p, address) => {
+            Effect::Reconfigure(p, address) => {
                 self.shut_discovery(p);
                 let to = self.listen(p, Target::Agent(address))?;
                 self.configured[p]["discovery"] = Value::String(to.to_string());
@@ -334,9 +334,9 @@
             let Some(listener) = self.listeners.get(slot) else { continue };
             let Target::Node(node) = listener.target else { continue };
             let wanted = match self.world.nodes[node].state {
-                State::Dead => Door::Shut,
-                State::Silent => Door::Stuck,
-                _ if self.world.is_cut(listener.proxy, node) => Door::Stuck,
+                NodeState::Dead => Door::Shut,
+                NodeState::Silent => Door::Stuck,
+                _ if self.world.is_partitioned(listener.proxy, node) => Door::Stuck,
                 _ => Door::Open,
             };
             if wanted != listener.door {
@@ -381,9 +381,9 @@
             let (proxy, target) = (listener.proxy, listener.target);
             let Some(Ok((stream, _))) = listener.socket.as_ref().map(|s| s.accept()) else { return };
             let now = self.now();
-            let link = self.world.dialled(now, proxy, target);
+            let link = self.world.on_dial(now, proxy, target);
             if self.keep(stream, link, false, true).is_err() {
-                self.world.ended(now, link, How::Broken);
+                self.world.on_end(now, link, EndKind::Broken);
             }
         }
     }
@@ -434,7 +434,7 @@
         let link = self.sockets[slot].link;
         self.drop_socket(slot);
         let now = self.now();
-        self.world.ended(now, link, How::Broken);
+        self.world.on_end(now, link, EndKind::Broken);
     }
 
     fn flush(&mut self, slot: usize) {
@@ -460,7 +460,7 @@
                 let link = socket.link;
                 self.drop_socket(slot);
                 let now = self.now();
-                self.world.ended(now, link, How::Closed);
+                self.world.on_end(now, link, EndKind::Closed);
             } else {
                 // One that is gone already needs no end.
                 let _ = socket.stream.shutdown(Shutdown::Write);
@@ -478,15 +478,15 @@
                     let now = self.now();
                     if done {
                         self.drop_socket(slot);
-                        self.world.ended(now, link, How::Closed);
+                        self.world.on_end(now, link, EndKind::Closed);
                     } else {
-                        self.world.ended(now, link, How::Finished);
+                        self.world.on_end(now, link, EndKind::Finished);
                     }
                 }
                 Ok(n) => {
                     let link = socket.link;
                     let now = self.now();
-                    self.world.said(now, link, &scratch[..n]);
+                    self.world.on_bytes(now, link, &scratch[..n]);
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
@@ -568,15 +568,15 @@
     lateness: f64,
     began: Instant,
 ) -> Played {
-    let shortest = world.of.traffic.iter().map(|t| t.setup_target).fold(f64::INFINITY, f64::min);
+    let shortest = world.experiment.traffic.iter().map(|t| t.setup_target).fold(f64::INFINITY, f64::min);
     Played {
-        experiment: world.of.name.clone(),
+        experiment: world.experiment.name.clone(),
         point: point.to_owned(),
         seed,
         who,
         host: "sockets",
         outcome: world.outcome(),
-        breaches: std::mem::take(&mut world.audit.breaches),
+        breaches: std::mem::take(&mut world.audit.violations),
         lateness,
         late: lateness > shortest / 4.0,
         digest: String::new(),
@@ -584,6 +584,6 @@
         took: began.elapsed().as_secs_f64(),
         nodes: std::mem::take(&mut world.service.nodes),
         proxies: std::mem::take(&mut world.service.proxies),
-        marks: std::mem::take(&mut world.service.marks),
+        marks: std::mem::take(&mut world.service.annotations),
     }
 }
--- a/crates/dewhead-lab/src/sockets/processes.rs
+++ b/crates/dewhead-lab/src/sockets/processes.rs
@@ -3,7 +3,7 @@
 
 use super::{told, Listener, Sockets, Target};
 use dewhead_faults::plan;
-use dewhead_world::settings::configuration;
+use dewhead_world::settings::proxy_configuration;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::fs::File;
@@ -111,7 +111,7 @@
         let discovery = self.listeners.iter().map(|(_, l)| l).find(mine).map(|l| l.address.to_string());
         let (listen, discovery) = (self.addresses[p].to_string(), discovery.unwrap_or_default());
         let seed = self.world.proxy_seed(p);
-        self.configured[p] = configuration(&self.world.of, p, &listen, &discovery, seed, known);
+        self.configured[p] = proxy_configuration(&self.world.experiment, p, &listen, &discovery, seed, known);
         // Earlier builds know no such field, and pass it over.
         self.configured[p]["control"] = Value::String(self.control(p));
         let path = self.write_configuration(p)?;
@@ -134,7 +134,7 @@
                 self.lose_process(p);
             } else if !process.ready && std::net::TcpStream::connect(self.addresses[p]).is_ok() {
                 process.ready = true;
-                self.world.ready(now, p);
+                self.world.on_listening(now, p);
             }
         }
         // One whose end can't be asked for is kept, and asked again.
@@ -177,7 +177,7 @@
             self.read(slot);
         }
         let now = self.now();
-        self.world.stops_listening(now, p);
+        self.world.on_listener_closed(now, p);
     }
 
     /// No process of a proxy is left; the world is told at once.
@@ -188,7 +188,7 @@
             self.read(*slot);
         }
         let now = self.now();
-        self.world.gone(now, p);
+        self.world.on_exit(now, p);
         for slot in slots {
             if self.sockets.contains(slot) {
                 self.drop_socket(slot);
--- a/crates/dewhead-lab/tests/faults.rs
+++ b/crates/dewhead-lab/tests/faults.rs
@@ -2,7 +2,7 @@
 
 use dewhead_faults::plan::{ClockStep, Plan};
 use dewhead_lab::sockets::{FaultInjection, Programs, Sockets};
-use dewhead_world::audit::Breach;
+use dewhead_world::audit::Violation;
 use dewhead_world::experiment::Experiment;
 use std::process::Command;
 
@@ -26,17 +26,17 @@
 }
 
 /// The breaches of a run of this experiment with these faults.
-fn breaches(experiment: &str, plan: Plan) -> Vec<Breach> {
+fn breaches(experiment: &str, plan: Plan) -> Vec<Violation> {
     build(&["-p", "dewhead-proxy", "--bin", "dewhead"]);
     build(&["-p", "dewhead-faults-preload"]);
-    let of = Experiment::read(experiment).expect("it is sound");
+    let of = Experiment::parse(experiment).expect("it is sound");
     let library = dewhead_lab::sockets::faults_library().expect("it was built a moment ago");
     let proxy = dewhead_lab::sockets::beside().expect("it was built a moment ago");
     let programs = Programs { proxy, logs: None, faults: Some(FaultInjection { library, plan }) };
     let mut host = Sockets::new(&of, plan.seed, programs).expect("it starts");
     host.run(of.seconds, |_, _| {}).expect("it plays");
     assert!(host.world.service.counts.completed > 20, "{:?}", host.world.service.counts);
-    std::mem::take(&mut host.world.audit.breaches)
+    std::mem::take(&mut host.world.audit.violations)
 }
 
 /// Nothing tells again that a socket can be written to unless a write found it full, so the rest of a short write has to
--- a/crates/dewhead-lab/tests/simulated.rs
+++ b/crates/dewhead-lab/tests/simulated.rs
@@ -61,7 +61,7 @@
 "#;
 
 fn rough() -> Experiment {
-    Experiment::read(ROUGH).expect("it is sound")
+    Experiment::parse(ROUGH).expect("it is sound")
 }
 
 fn task(seed: u64, who: Who) -> Task {
@@ -136,7 +136,7 @@
         let mut of = rough();
         // One that has just started gets all of a crowd that asks for more than it can do.
         of.load.utilisation = 0.9;
-        of.node.longest_queue = 60.0;
+        of.node.max_queue = 60.0;
         of.machines.iter_mut().for_each(|m| m.cold_share = [0.1, 0.1]);
         caught(of, *seed, Fault::FloodsCold).is_ok()
     };
@@ -152,13 +152,13 @@
         of.seconds = 20.0;
         let mut host = Simulated::new(&of, seed, Who::Dewhead);
         host.run(20.0);
-        assert!(host.world.links_open() > 20);
-        host.world.close_the_shop();
+        assert!(host.world.open_links() > 20);
+        host.world.stop_arrivals();
         // As long as the longest life there is, and what comes after a move.
         host.run(2000.0);
         // What stays is each proxy's watch.
-        assert_eq!(host.world.links_open(), of.fleet.proxies, "links are left over");
-        assert_eq!(host.world.audit.open(), 0, "calls are left over");
+        assert_eq!(host.world.open_links(), of.fleet.proxies, "links are left over");
+        assert_eq!(host.world.audit.open_calls(), 0, "calls are left over");
         assert_eq!(host.open_sessions(), 0, "sessions are left over");
     }
 }
@@ -168,16 +168,16 @@
 fn budgets_that_are_too_high_are_seen_by_the_sum_over_all_proxies() {
     let release =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../experiments/release.toml"));
-    let mut of = Experiment::read(&release.expect("it is there")).expect("it is sound");
+    let mut of = Experiment::parse(&release.expect("it is there")).expect("it is sound");
     let breaches = |of: &Experiment, seed| {
         let played = play(&Task { point: String::new(), of: of.clone(), seed, who: Who::Dewhead });
         let cold: Vec<_> = played.breaches.into_iter().filter(|b| b.rule == Rule::ColdNodes).collect();
-        assert_eq!(played.outcome.counts.nodes_fallen, 0, "seed {seed}");
+        assert_eq!(played.outcome.counts.nodes_crashed, 0, "seed {seed}");
         cold.len()
     };
     for seed in 1..=3 {
         assert_eq!(breaches(&of, seed), 0, "seed {seed}: told what the rule is");
     }
-    of.proxy.told_fall_multiple = Some(4.0 * of.rules.fall_multiple);
+    of.proxy.configured_overload_multiple = Some(4.0 * of.rules.overload_multiple);
     assert!((1..=3).any(|seed| breaches(&of, seed) > 0), "told four times that");
 }
--- a/crates/dewhead-lab/tests/soak.rs
+++ b/crates/dewhead-lab/tests/soak.rs
@@ -17,7 +17,7 @@
     for seed in 1..=200 {
         let day = Day::drawn(SMALL, seed);
         let text = toml::to_string(&day.of).expect("it is written");
-        let read = Experiment::read(&text).unwrap_or_else(|fault| panic!("seed {seed}: {fault}"));
+        let read = Experiment::parse(&text).unwrap_or_else(|fault| panic!("seed {seed}: {fault}"));
         let first = read.troubles.iter().map(|t| t.at).fold(f64::INFINITY, f64::min);
         let last = read.troubles.iter().map(|t| t.at).fold(0.0, f64::max);
         // Two or three, one with signals or resets, and on some days a crowd.
--- a/crates/dewhead-lab/tests/sockets.rs
+++ b/crates/dewhead-lab/tests/sockets.rs
@@ -64,22 +64,22 @@
 
 #[test]
 fn the_rules_are_kept_on_sockets_and_nothing_is_left_over() {
-    let of = Experiment::read(ROUGH).expect("it is sound");
+    let of = Experiment::parse(ROUGH).expect("it is sound");
     let programs = Programs { proxy: proxy(), logs: None, faults: None };
     let mut host = Sockets::new(&of, 1, programs).expect("it starts");
     host.run(of.seconds, |_, _| {}).expect("it plays");
     let counts = host.world.service.counts.clone();
     assert!(counts.completed > 100, "{counts:?}");
     assert!(counts.moved > 0, "the drain and the stop move clients: {counts:?}");
-    assert!(counts.bad_clients > 50, "{counts:?}");
-    assert_eq!(counts.bad_left, 0, "each bad client is owed an end: {counts:?}");
-    let breaches = &host.world.audit.breaches;
+    assert!(counts.misbehaving_clients > 50, "{counts:?}");
+    assert_eq!(counts.misbehaving_clients_unanswered, 0, "each bad client is owed an end: {counts:?}");
+    let breaches = &host.world.audit.violations;
     assert!(breaches.is_empty(), "{:#?}", breaches[0]);
     // All that is open is a link that the world knows; none is forgotten.
     assert!(
-        host.open() <= host.world.links_open() + 8,
+        host.open() <= host.world.open_links() + 8,
         "{} sockets, {} links",
         host.open(),
-        host.world.links_open()
+        host.world.open_links()
     );
 }
--- a/crates/dewhead-lab/tests/tools.rs
+++ b/crates/dewhead-lab/tests/tools.rs
@@ -21,7 +21,7 @@
 name = "feeds"
 life = 8
 "#;
-    Experiment::read(text).expect("it is sound")
+    Experiment::parse(text).expect("it is sound")
 }
 
 #[test]
@@ -39,7 +39,7 @@
     let more = |kind: &str, at: f64, part: f64, size: f64| {
         let text =
             format!("[[trouble]]\nkind = \"{kind}\"\nat = {at}\nlasts = 12\npart = {part}\nsize = {size}");
-        Experiment::read(&text).unwrap().troubles.remove(0)
+        Experiment::parse(&text).unwrap().troubles.remove(0)
     };
     day.troubles = vec![more("neighbour", 8.0, 1.0, 4.0), more("slow-network", 9.0, 0.5, 1.5)];
     let whole = hunt::weigh(&day, &[2000, 2001, 2002, 2003]);
--- a/crates/dewhead-world/src/audit.rs
+++ b/crates/dewhead-world/src/audit.rs
@@ -4,9 +4,9 @@
 
 mod cold_start;
 
-use crate::experiment::{Effect, Experiment, Scope};
+use crate::experiment::{Experiment, Repeatability, Scope};
 use crate::nodes::Node;
-use crate::world::{Bytes, Far, How, LinkKey};
+use crate::world::{Bytes, EndKind, LinkKey, Peer};
 use cold_start::{ColdNode, ColdStartRule};
 use serde::Serialize;
 use serde_json::Value;
@@ -31,9 +31,10 @@
 }
 
 #[derive(Clone, Debug, Serialize)]
-pub struct Breach {
+pub struct Violation {
     pub rule: Rule,
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     pub at: f64,
     pub proxy: usize,
     /// The call's id, where it is one call's.
@@ -160,7 +161,7 @@
 }
 
 pub struct Auditor {
-    kinds: Vec<(String, Effect, Scope, f64)>,
+    kinds: Vec<(String, Repeatability, Scope, f64)>,
     most_legs: u32,
     second_copies: bool,
     grace: f64,
@@ -181,12 +182,12 @@
     overlaps: Vec<(LinkKey, u64, f64)>,
     killed: Vec<Killed>,
     /// How much later than the edge a proxy may see things: 0 in simulated time, a little on sockets.
-    pub slack: f64,
+    pub observation_slack: f64,
     pub seed: u64,
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// Calls taken so far, and how many of them got which answer; for the count that none is missing.
-    pub taken: u64,
-    pub answers: [u64; 3],
+    pub calls_accepted: u64,
+    pub answer_counts: [u64; 3],
     next_second: f64,
 }
 
@@ -225,12 +226,12 @@
     pub(crate) fn new<C>(of: &Experiment, seed: u64, nodes: &[Node<C>], names: &[String]) -> Auditor {
         let told = || Told { away: None, away_by: None, start: None };
         Auditor {
-            kinds: of.traffic.iter().map(|t| (t.name.clone(), t.effect, t.scope, t.window)).collect(),
-            most_legs: of.rules.most_legs,
+            kinds: of.traffic.iter().map(|t| (t.name.clone(), t.repeatability, t.scope, t.window)).collect(),
+            most_legs: of.rules.max_legs,
             second_copies: of.rules.second_copies,
             grace: of.rules.drain_grace,
             cold_start: ColdStartRule::of(of),
-            cores: nodes.iter().map(|n| n.warm).collect(),
+            cores: nodes.iter().map(|n| n.warm_capacity).collect(),
             cold: nodes.iter().map(|_| ColdNode::default()).collect(),
             places: nodes.iter().map(|n| (n.zone, n.cell)).collect(),
             names: names.iter().cloned().enumerate().map(|(n, name)| (name, n)).collect(),
@@ -240,22 +241,22 @@
             told: (0..of.fleet.proxies).map(|_| (0..nodes.len()).map(|_| told()).collect()).collect(),
             overlaps: Vec::new(),
             killed: vec![Killed::No; of.fleet.proxies],
-            slack: 0.0,
+            observation_slack: 0.0,
             seed,
-            breaches: Vec::new(),
-            taken: 0,
-            answers: [0; 3],
+            violations: Vec::new(),
+            calls_accepted: 0,
+            answer_counts: [0; 3],
             next_second: 0.0,
         }
     }
 
     fn breach(&mut self, now: f64, rule: Rule, proxy: usize, call: Option<u64>, what: String) {
-        if self.breaches.len() >= KEPT {
+        if self.violations.len() >= KEPT {
             return;
         }
         let trace = call.and_then(|c| self.calls.get(&c)).map_or(Vec::new(), |c| c.trace.clone());
         let call = call.map(|c| format!("{c:016x}"));
-        self.breaches.push(Breach { rule, what, at: now, proxy, call, trace });
+        self.violations.push(Violation { rule, description: what, at: now, proxy, call, trace });
     }
 
     fn trace(&mut self, now: f64, call: Option<u64>, what: impl FnOnce() -> String) {
@@ -269,10 +270,10 @@
 
     // What the world tells of the wires.
 
-    pub(crate) fn connected(&mut self, _now: f64, key: LinkKey, _proxy: usize, far: Far) {
+    pub(crate) fn connected(&mut self, _now: f64, key: LinkKey, _proxy: usize, far: Peer) {
         let seen = match far {
-            Far::Client(_) => Seen::Client(None, Bytes::new()),
-            Far::Bad(_) => Seen::Bad,
+            Peer::Client(_) => Seen::Client(None, Bytes::new()),
+            Peer::Bad(_) => Seen::Bad,
             _ => Seen::Front,
         };
         self.seen.insert(key, seen);
@@ -348,7 +349,7 @@
         let kind = field(list, "c").and_then(|c| self.kinds.iter().position(|k| k.0 == c));
         let within = field(list, "d").and_then(|d| d.parse::<f64>().ok());
         let (Some(id), Some(kind), Some(within)) = (id, kind, within) else { return };
-        self.taken += 1;
+        self.calls_accepted += 1;
         self.seen.insert(key, Seen::Client(Some(id), Bytes::new()));
         let call = Call {
             proxy,
@@ -450,13 +451,13 @@
         call.answered = true;
         let (until, kind, legs) = (call.until, call.kind, call.legs.clone());
         self.trace(now, Some(id), || format!("its client is told '{}'", text(line.as_bytes())));
-        if now > until + SLACK + self.slack {
+        if now > until + SLACK + self.observation_slack {
             let what = format!("its final answer came {:.3} s after its guard time", now - until);
             self.breach(now, Rule::OneAnswer, proxy, Some(id), what);
         }
         match line.split(' ').next() {
             Some("UP") => {
-                self.answers[0] += 1;
+                self.answer_counts[0] += 1;
                 let receipt = line.strip_prefix("UP ").unwrap_or("").as_bytes();
                 let bound = legs.iter().copied().find(|l| {
                     matches!(self.seen.get(l), Some(Seen::Leg(leg)) if leg.receipt.as_deref() == Some(receipt))
@@ -475,9 +476,9 @@
                 }
             }
             Some("BUSY") => {
-                self.answers[1] += 1;
+                self.answer_counts[1] += 1;
                 let harmless = match (self.kinds[kind].1, self.kinds[kind].2) {
-                    (Effect::Repeatable, _) | (Effect::Referenced, Scope::All) => true,
+                    (Repeatability::Repeatable, _) | (Repeatability::Referenced, Scope::All) => true,
                     _ => legs.iter().all(|l| self.outcome(*l) == Outcome::Never),
                 } || self.calls[&id].ran.is_none()
                     && legs.iter().all(|l| self.outcome(*l) == Outcome::Never);
@@ -486,7 +487,7 @@
                     self.breach(now, Rule::NoEffectTwice, proxy, Some(id), what);
                 }
             }
-            _ => self.answers[2] += 1,
+            _ => self.answer_counts[2] += 1,
         }
         if all.len() > end + 1 && self.calls.get(&id).is_some_and(|c| c.standing.is_none()) {
             let what = format!("after its final answer a client was told '{}'", text(&all[end + 1..]));
@@ -607,13 +608,13 @@
         let (_, effect, scope, window) = &self.kinds[kind];
         let may_have_run = ran.is_some() || outcomes.iter().any(|o| *o != Outcome::Never);
         match effect {
-            Effect::Repeatable => {}
-            Effect::OnceOnly if may_have_run => {
+            Repeatability::Repeatable => {}
+            Repeatability::OnceOnly if may_have_run => {
                 let what = "a further leg of a once-only call, though an earlier one may have run".into();
                 self.breach(now, Rule::NoEffectTwice, proxy, Some(id), what);
             }
-            Effect::OnceOnly => {}
-            Effect::Referenced => {
+            Repeatability::OnceOnly => {}
+            Repeatability::Referenced => {
                 let (scope, window) = (*scope, *window);
                 if let Some((at, other)) = ran {
                     let (one, two) = (self.places[other], self.places[node]);
@@ -622,7 +623,7 @@
                         Scope::Zone => one.0 == two.0,
                         Scope::Cell => one == two,
                     };
-                    if !in_group || now - at > window + SLACK + self.slack {
+                    if !in_group || now - at > window + SLACK + self.observation_slack {
                         let what =
                             "a referenced call that may have run was sent outside its group or window".into();
                         self.breach(now, Rule::NoEffectTwice, proxy, Some(id), what);
@@ -632,7 +633,7 @@
         }
         let told = &self.told[proxy][node];
         let away = [told.away, told.away_by].into_iter().flatten().reduce(f64::min);
-        if away.is_some_and(|at| first > at + self.grace + SLACK + self.slack) {
+        if away.is_some_and(|at| first > at + self.grace + SLACK + self.observation_slack) {
             let late = first - away.unwrap_or(first);
             let what = format!(
                 "a leg to node {node}, {late:.3} s after the proxy was told that it drains or is gone"
@@ -662,7 +663,7 @@
     }
 
     fn settle_overlaps(&mut self, now: f64) {
-        let slack = self.slack;
+        let slack = self.observation_slack;
         let mut broken = Vec::new();
         let seen = &self.seen;
         self.overlaps.retain(|(leg, id, at)| {
@@ -680,7 +681,7 @@
     }
 
     /// The far side of a link has ended, as the proxy sees it.
-    pub(crate) fn far_ended(&mut self, now: f64, key: LinkKey, how: How) {
+    pub(crate) fn far_ended(&mut self, now: f64, key: LinkKey, how: EndKind) {
         match self.seen.get_mut(&key) {
             Some(Seen::Client(call, _)) => {
                 let call = *call;
@@ -688,7 +689,7 @@
                 if let Some(id) = call {
                     if let Some(one) = self.calls.get(&id) {
                         let (answered, until, proxy) = (one.answered, one.until, one.proxy);
-                        if !answered && now > until + SLACK + self.slack {
+                        if !answered && now > until + SLACK + self.observation_slack {
                             self.breach(
                                 now,
                                 Rule::OneAnswer,
@@ -736,13 +737,13 @@
     }
 
     /// The proxy has ended its side of a link.
-    pub(crate) fn proxy_ended(&mut self, now: f64, key: LinkKey, how: How) {
+    pub(crate) fn proxy_ended(&mut self, now: f64, key: LinkKey, how: EndKind) {
         match self.seen.get_mut(&key) {
             Some(Seen::Client(Some(id), _)) => {
                 let id = *id;
                 self.trace(now, Some(id), || format!("the proxy ends its client's link ({how:?})"));
                 self.client_cut(now, id);
-                if how != How::Finished {
+                if how != EndKind::Finished {
                     self.seen.remove(&key);
                 }
             }
@@ -753,12 +754,12 @@
                     self.never_ran(key);
                 }
                 self.trace(now, call, || format!("the proxy ends its leg to node {node} ({how:?})"));
-                if how != How::Finished {
+                if how != EndKind::Finished {
                     self.forget_leg(key);
                 }
             }
             Some(Seen::Client(None, _) | Seen::Watch(_) | Seen::Bad | Seen::Front)
-                if how != How::Finished =>
+                if how != EndKind::Finished =>
             {
                 self.seen.remove(&key);
             }
@@ -935,7 +936,7 @@
     /// A regular look at what only time breaks.
     pub(crate) fn look(&mut self, now: f64) {
         self.settle_overlaps(now);
-        while self.past.front().is_some_and(|(at, _)| now - at > self.slack) {
+        while self.past.front().is_some_and(|(at, _)| now - at > self.observation_slack) {
             self.past.pop_front();
         }
         if now < self.next_second {
@@ -944,18 +945,21 @@
         self.next_second = now + 0.5;
         let mut broken: Vec<(u64, Rule, &str)> = Vec::new();
         for (id, call) in &mut self.calls {
-            if !call.answered && now > call.until + SLACK + self.slack + 0.1 {
+            if !call.answered && now > call.until + SLACK + self.observation_slack + 0.1 {
                 broken.push((*id, Rule::OneAnswer, "no answer by its guard time"));
                 // Said once.
                 call.answered = true;
             }
             let Some(leg) = call.standing else { continue };
             let moved = call.own.len() == 6;
-            if call.server_ended.is_some_and(|at| now - at > SERVER_ENDED + SLACK + self.slack) && !moved {
+            if call.server_ended.is_some_and(|at| now - at > SERVER_ENDED + SLACK + self.observation_slack)
+                && !moved
+            {
                 broken.push((*id, Rule::NoCut, "its server has ended, and it was neither ended nor moved"));
                 call.server_ended = None;
             }
-            if call.unanswered.is_some_and(|at| now - at > SILENT + SLACK + self.slack) && !moved {
+            if call.unanswered.is_some_and(|at| now - at > SILENT + SLACK + self.observation_slack) && !moved
+            {
                 broken.push((
                     *id,
                     Rule::NoCut,
@@ -979,12 +983,12 @@
     }
 
     /// Calls that are still open.
-    pub fn open(&self) -> usize {
+    pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
     /// Whose link a call came on, for tests.
-    pub fn link_of(&self, call: u64) -> Option<LinkKey> {
+    pub fn client_link(&self, call: u64) -> Option<LinkKey> {
         self.calls.get(&call).map(|c| c.link)
     }
 }
--- a/crates/dewhead-world/src/audit/cold_start.rs
+++ b/crates/dewhead-world/src/audit/cold_start.rs
@@ -37,8 +37,8 @@
         ColdStartRule {
             cold_share: told_cold_share(of),
             warm_after: told_warm_after(of),
-            multiple: of.rules.fall_multiple,
-            window: of.rules.fall_after,
+            multiple: of.rules.overload_multiple,
+            window: of.rules.overload_window,
             mean_load: load / shares,
         }
     }
--- a/crates/dewhead-world/src/clients.rs
+++ b/crates/dewhead-world/src/clients.rs
@@ -1,10 +1,10 @@
 //! Clients: they come as they come, whatever becomes of those before them; they wait until their guard time, try again
 //! after pauses, stay for their life, and come again after a break or a move.
 
-use crate::chance::{Chance, Of};
 use crate::experiment::Experiment;
-use crate::serving::lines;
-use crate::world::{Bytes, ClientKey, ConnectionKey, Due, Far, How, LinkKey, Parcel, World};
+use crate::node_connections::lines;
+use crate::random::{RandomStream, StreamPurpose};
+use crate::world::{Bytes, ClientKey, ConnectionKey, EndKind, Event, LinkKey, Message, Peer, World};
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Stage {
@@ -28,7 +28,7 @@
     retries: u32,
     pause: f64,
     honours: bool,
-    chance: Chance,
+    chance: RandomStream,
     key: u64,
     /// When its call was due, and when it gives that up.
     due: f64,
@@ -52,7 +52,7 @@
 
 /// What new clients are drawn from, and what troubles change of it.
 pub(crate) struct Clients {
-    arrivals: Chance,
+    arrivals: RandomStream,
     seed: u64,
     serial: u64,
     calls: u64,
@@ -75,13 +75,13 @@
 impl Clients {
     pub(crate) fn new(of: &Experiment, seed: u64) -> Clients {
         Clients {
-            arrivals: Chance::of(seed, Of::Arrivals, 0),
+            arrivals: RandomStream::new(seed, StreamPurpose::Arrivals, 0),
             seed,
             serial: 0,
             calls: 0,
             rate: 0.0,
             burst: 1.0,
-            floods: vec![1.0; of.shops.len()],
+            floods: vec![1.0; of.tenants.len()],
             heavy: vec![(0.0, 1.0); of.traffic.len()],
             open: true,
         }
@@ -91,28 +91,35 @@
 impl World {
     /// The load wanted, from the experiment: how many come a second, and who is there already.
     pub(crate) fn people(&mut self, from: f64) {
-        let capacity: f64 = self.nodes.iter().map(|n| n.warm).sum();
-        let total: f64 = self.of.traffic.iter().map(|t| t.share).sum();
-        let each: f64 =
-            self.of.traffic.iter().map(|t| t.share / total * t.load * (1.0 - t.idle) * t.life).sum();
-        self.crowd.rate = self.of.load.utilisation * capacity / each.max(1e-9);
-        self.queue.put(from, Due::Arrival);
-        if !self.of.load.warm {
+        let capacity: f64 = self.nodes.iter().map(|n| n.warm_capacity).sum();
+        let total: f64 = self.experiment.traffic.iter().map(|t| t.share).sum();
+        let each: f64 = self
+            .experiment
+            .traffic
+            .iter()
+            .map(|t| t.share / total * t.load * (1.0 - t.idle) * t.lifetime)
+            .sum();
+        self.crowd.rate = self.experiment.load.utilisation * capacity / each.max(1e-9);
+        self.queue.push(from, Event::Arrival);
+        if !self.experiment.load.prewarmed {
             return;
         }
-        let mut chance = Chance::of(self.seed, Of::Arrivals, 1);
-        let standing: f64 =
-            self.of.traffic.iter().map(|t| t.share / total * t.life).sum::<f64>() * self.crowd.rate;
-        let weights: Vec<f64> =
-            self.nodes.iter().map(|n| if self.of.node.weights { n.warm } else { 1.0 }).collect();
+        let mut chance = RandomStream::new(self.seed, StreamPurpose::Arrivals, 1);
+        let standing: f64 = self.experiment.traffic.iter().map(|t| t.share / total * t.lifetime).sum::<f64>()
+            * self.crowd.rate;
+        let weights: Vec<f64> = self
+            .nodes
+            .iter()
+            .map(|n| if self.experiment.node.weights { n.warm_capacity } else { 1.0 })
+            .collect();
         for _ in 0..standing.round() as usize {
             // Who stands is who stays long: by share and life.
-            let kinds = self.of.traffic.clone();
-            let kind = chance.weighted(kinds.iter().map(|t| t.share * t.life));
-            let node = chance.weighted(weights.iter().copied());
-            let at = from + 2.0 * chance.part();
+            let kinds = self.experiment.traffic.clone();
+            let kind = chance.weighted_index(kinds.iter().map(|t| t.share * t.lifetime));
+            let node = chance.weighted_index(weights.iter().copied());
+            let at = from + 2.0 * chance.uniform();
             let zone = self.nodes[node].zone;
-            let left = kinds[kind].life * chance.gap(1.0);
+            let left = kinds[kind].lifetime * chance.exponential(1.0);
             self.newcomer(at, kind, Some((node, zone, left)));
         }
     }
@@ -121,29 +128,34 @@
         if !self.crowd.open {
             return;
         }
-        let load = &self.of.load;
+        let load = &self.experiment.load;
         let swing = 1.0 + load.swing * (std::f64::consts::TAU * now / load.period).sin();
-        let shops: f64 = self.of.shops.iter().map(|s| s.share).sum();
-        let floods =
-            self.of.shops.iter().zip(&self.crowd.floods).map(|(s, f)| s.share * s.usage * f).sum::<f64>();
+        let shops: f64 = self.experiment.tenants.iter().map(|s| s.share).sum();
+        let floods = self
+            .experiment
+            .tenants
+            .iter()
+            .zip(&self.crowd.floods)
+            .map(|(s, f)| s.share * s.usage * f)
+            .sum::<f64>();
         let rate = self.crowd.rate * swing * self.crowd.burst * floods / shops;
         if rate > 0.0 {
-            let kind = self.crowd.arrivals.weighted(self.of.traffic.iter().map(|t| t.share));
+            let kind = self.crowd.arrivals.weighted_index(self.experiment.traffic.iter().map(|t| t.share));
             self.newcomer(now, kind, None);
         }
-        let gap = self.crowd.arrivals.gap(1.0 / rate.max(0.1));
-        self.queue.put(now + gap, Due::Arrival);
+        let gap = self.crowd.arrivals.exponential(1.0 / rate.max(0.1));
+        self.queue.push(now + gap, Event::Arrival);
     }
 
     /// A client that is there from `now` on; `stood` tells where it stood before the start, and how long it stays.
     fn newcomer(&mut self, now: f64, kind: usize, stood: Option<(usize, usize, f64)>) {
         let crowd = &mut self.crowd;
         crowd.serial += 1;
-        let mut chance = Chance::of(crowd.seed, Of::Client, crowd.serial);
-        let traffic = &self.of.traffic[kind];
-        let zones = self.of.fleet.zones.len();
-        let skew = self.of.load.zone_skew;
-        let zone = chance.weighted((0..zones).map(|z| {
+        let mut chance = RandomStream::new(crowd.seed, StreamPurpose::Client, crowd.serial);
+        let traffic = &self.experiment.traffic[kind];
+        let zones = self.experiment.fleet.zones.len();
+        let skew = self.experiment.load.zone_skew;
+        let zone = chance.weighted_index((0..zones).map(|z| {
             if z == 0 {
                 1.0 + skew * (zones - 1) as f64
             } else {
@@ -151,17 +163,18 @@
             }
         }));
         let floods = &crowd.floods;
-        let shop =
-            chance.weighted(self.of.shops.iter().enumerate().map(|(n, s)| s.share * s.usage * floods[n]));
+        let shop = chance.weighted_index(
+            self.experiment.tenants.iter().enumerate().map(|(n, s)| s.share * s.usage * floods[n]),
+        );
         let (part, size) = crowd.heavy[kind];
-        let heavy = if chance.happens(part) { size } else { 1.0 };
+        let heavy = if chance.bernoulli(part) { size } else { 1.0 };
         let load = traffic.load * chance.lognormal(traffic.load_sigma) * heavy;
-        let life = (traffic.life * chance.heavy(traffic.life_shape)).max(0.5);
+        let life = (traffic.lifetime * chance.pareto(traffic.lifetime_shape)).max(0.5);
         let life = stood.map_or(life, |s| s.2.max(0.5));
         // Clients tell the load that they usually are; a surge is none of that.
-        let hint = load / heavy * chance.lognormal(self.of.clients.hint_sigma);
+        let hint = load / heavy * chance.lognormal(self.experiment.clients.hint_sigma);
         let worth = traffic.revenue * load / heavy;
-        let retries = chance.within(self.of.clients.retries).round() as u32;
+        let retries = chance.uniform_in(self.experiment.clients.retries).round() as u32;
         let client = Client {
             stage: Stage::Away,
             zone: stood.map_or(zone, |s| s.1),
@@ -172,9 +185,9 @@
             worth,
             leaves: now + life,
             retries,
-            pause: chance.within(self.of.clients.pause),
-            honours: chance.happens(self.of.clients.honour),
-            key: chance.bits(),
+            pause: chance.uniform_in(self.experiment.clients.pause),
+            honours: chance.bernoulli(self.experiment.clients.honours_retry_after),
+            key: chance.next_u64(),
             chance,
             due: now,
             until: now + traffic.guard_time,
@@ -191,14 +204,14 @@
             timer: 0,
         };
         let key = self.clients.insert(client);
-        self.queue.put(now, Due::Client(key, 0));
+        self.queue.push(now, Event::Client(key, 0));
         self.service.counts.clients += 1;
     }
 
     fn set_client(&mut self, key: ClientKey, at: f64) {
         if let Some(client) = self.clients.get_mut(key) {
             client.timer = client.timer.wrapping_add(1);
-            self.queue.put(at, Due::Client(key, client.timer));
+            self.queue.push(at, Event::Client(key, client.timer));
         }
     }
 
@@ -209,8 +222,8 @@
                 if number == 0 {
                     // It has come: from now until it leaves it wants to be served.
                     let (kind, worth, leaves) = (client.kind, client.worth, client.leaves);
-                    self.service.want(now, kind, worth);
-                    self.queue.put(leaves, Due::Unwant(kind, worth));
+                    self.service.change_demand(now, kind, worth);
+                    self.queue.push(leaves, Event::Unwant(kind, worth));
                 }
                 self.call(now, key);
             }
@@ -230,7 +243,7 @@
                 self.come_again(now, key, false);
             }
             Stage::Standing => {
-                let next = (now + self.of.clients.line_every).min(client.leaves);
+                let next = (now + self.experiment.clients.line_interval).min(client.leaves);
                 if let Some(link) = client.link {
                     client.sent += 1;
                     let text = format!("M {}\r\n", client.sent);
@@ -253,13 +266,14 @@
             self.service.counts.unreachable += 1;
             return self.try_again(now, key, None);
         };
-        let latency = self.network.to_client();
-        let link = self.link(proxy, Far::Client(key), latency);
+        let latency = self.network.client_latency();
+        let link = self.link(proxy, Peer::Client(key), latency);
         self.crowd.calls += 1;
         // Odd, so that no two are the same, and none is like another.
         let id = self.crowd.calls.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         self.calls.insert(id, key);
-        let (traffic, shop) = (&self.of.traffic[kind], &self.of.shops[self.clients[key].shop]);
+        let (traffic, shop) =
+            (&self.experiment.traffic[kind], &self.experiment.tenants[self.clients[key].shop]);
         let client = &mut self.clients[key];
         if client.at.is_some() {
             // What stood before the start is put back, whatever the guard time of a new call is.
@@ -273,7 +287,7 @@
             shop.name,
             client.key >> 8
         );
-        if self.of.clients.hints {
+        if self.experiment.clients.hints {
             text.push_str(&format!(",h={:.1}", client.hint * 1e6));
         }
         if client.is_retry {
@@ -291,7 +305,7 @@
         let until = client.until;
         self.service.counts.calls += 1;
         self.proxies[proxy].connections += 1;
-        self.post(now, link, true, Parcel::Open);
+        self.post(now, link, true, Message::Open);
         self.say(now, link, text.as_bytes());
         // What was answered in time may still be on its way.
         self.set_client(key, until + IN_FLIGHT);
@@ -300,7 +314,7 @@
     /// Leaves its link, whatever stands on it.
     fn hang_up(&mut self, now: f64, key: ClientKey) {
         if let Some(link) = self.let_go(key) {
-            self.leave(now, link, How::Closed);
+            self.leave(now, link, EndKind::Closed);
         }
     }
 
@@ -323,17 +337,17 @@
     fn linger(&mut self, now: f64, key: ClientKey) {
         if let Some(link) = self.let_go(key) {
             if let Some(one) = self.links.get_mut(link) {
-                one.far = Far::Lingering;
-                self.queue.put(now + self.of.clients.line_every, Due::Linger(link));
+                one.far = Peer::Lingering;
+                self.queue.push(now + self.experiment.clients.line_interval, Event::Linger(link));
             }
         }
     }
 
     pub(crate) fn linger_on(&mut self, now: f64, link: LinkKey) {
-        let open = self.links.get(link).is_some_and(|l| l.far == Far::Lingering && !l.is_over());
+        let open = self.links.get(link).is_some_and(|l| l.far == Peer::Lingering && !l.is_over());
         if open {
             self.say(now, link, b"M 0\r\n");
-            self.queue.put(now + self.of.clients.line_every, Due::Linger(link));
+            self.queue.push(now + self.experiment.clients.line_interval, Event::Linger(link));
         }
     }
 
@@ -347,12 +361,12 @@
     fn try_again(&mut self, now: f64, key: ClientKey, stay_away: Option<f64>) {
         let client = &mut self.clients[key];
         let told = stay_away.filter(|_| client.honours).unwrap_or(0.0);
-        let at = now + told.max(client.pause * (0.5 + client.chance.part()));
+        let at = now + told.max(client.pause * (0.5 + client.chance.uniform()));
         client.pause *= 2.0;
         client.stage = Stage::Away;
         // One that was told to come again later takes that as a new beginning of its waiting.
         if told > 0.0 {
-            client.until = client.until.max(at + self.of.traffic[client.kind].guard_time / 2.0);
+            client.until = client.until.max(at + self.experiment.traffic[client.kind].guard_time / 2.0);
         }
         client.is_retry = true;
         if client.retries == 0 || at >= client.until {
@@ -370,21 +384,24 @@
         } else {
             self.service.counts.broken += 1;
         }
-        let (rejoin, retries, pause) =
-            (self.of.clients.rejoin, self.of.clients.retries, self.of.clients.pause);
+        let (rejoin, retries, pause) = (
+            self.experiment.clients.reconnect_delay,
+            self.experiment.clients.retries,
+            self.experiment.clients.pause,
+        );
         let client = &mut self.clients[key];
-        let at = now + client.chance.within(rejoin);
+        let at = now + client.chance.uniform_in(rejoin);
         client.stage = Stage::Away;
         (client.again, client.is_retry, client.at) = (true, false, None);
-        client.retries = client.chance.within(retries).round() as u32;
-        client.pause = client.chance.within(pause);
+        client.retries = client.chance.uniform_in(retries).round() as u32;
+        client.pause = client.chance.uniform_in(pause);
         client.due = at;
-        client.until = at + self.of.traffic[client.kind].guard_time;
+        client.until = at + self.experiment.traffic[client.kind].guard_time;
         self.set_client(key, at);
     }
 
     /// A standing client drops its connection, and comes again.
-    pub(crate) fn drop_client(&mut self, now: f64, key: ClientKey, how: How) {
+    pub(crate) fn drop_client(&mut self, now: f64, key: ClientKey, how: EndKind) {
         if self.clients[key].stage == Stage::Standing {
             if let Some(link) = self.let_go(key) {
                 self.leave(now, link, how);
@@ -397,12 +414,12 @@
         self.clients.iter().filter(|(_, c)| c.stage == Stage::Standing).map(|(k, _)| k).collect()
     }
 
-    pub(crate) fn client_gets(&mut self, now: f64, key: ClientKey, link: LinkKey, parcel: Parcel) {
+    pub(crate) fn client_gets(&mut self, now: f64, key: ClientKey, link: LinkKey, parcel: Message) {
         if self.clients.get(key).is_none_or(|c| c.link != Some(link)) {
             return;
         }
         match parcel {
-            Parcel::Bytes(bytes) => {
+            Message::Bytes(bytes) => {
                 let mut said: Vec<Bytes> = Vec::new();
                 let client = &mut self.clients[key];
                 lines(&mut client.line, &bytes, |line| said.push(Bytes::from_slice(line.as_bytes())));
@@ -413,13 +430,13 @@
                     self.client_hears(now, key, &String::from_utf8_lossy(&line));
                 }
             }
-            Parcel::Answer(_) => {
+            Message::Answer(_) => {
                 // Refused: the proxy's process is gone.
                 self.service.counts.unreachable += 1;
                 self.hang_up(now, key);
                 self.try_again(now, key, None);
             }
-            Parcel::End(_) => {
+            Message::End(_) => {
                 let standing = self.clients[key].stage == Stage::Standing;
                 self.hang_up(now, key);
                 if standing {
@@ -429,7 +446,7 @@
                     self.try_again(now, key, None);
                 }
             }
-            Parcel::Open => {}
+            Message::Open => {}
         }
     }
 
@@ -448,9 +465,9 @@
                 self.clients[key].connection = connection;
                 self.service.counts.completed += 1;
                 if fresh {
-                    self.service.set_up(kind, now - due, self.of.traffic[kind].setup_target);
+                    self.service.record_setup(kind, now - due, self.experiment.traffic[kind].setup_target);
                 }
-                let first = self.of.clients.line_every * self.clients[key].chance.part();
+                let first = self.experiment.clients.line_interval * self.clients[key].chance.uniform();
                 self.set_client(key, (now + first).min(leaves));
             }
             (Stage::Calling, "BUSY") => {
@@ -465,8 +482,8 @@
                 self.try_again(now, key, None);
             }
             (Stage::Standing, "MOVE") => {
-                let lingers = self.of.clients.lingering;
-                if lingers > 0.0 && self.clients[key].chance.happens(lingers) {
+                let lingers = self.experiment.clients.ignore_move_share;
+                if lingers > 0.0 && self.clients[key].chance.bernoulli(lingers) {
                     self.linger(now, key);
                 } else {
                     self.hang_up(now, key);
--- a/crates/dewhead-world/src/discovery.rs
+++ b/crates/dewhead-world/src/discovery.rs
@@ -1,9 +1,9 @@
 //! Discovery: what it holds of the nodes, some seconds late, and an agent on each proxy's machine that writes the watch.
 
-use crate::chance::Chance;
 use crate::experiment::{Experiment, Range};
-use crate::nodes::{Node, State};
-use crate::world::{Bytes, Due, Effect, How, LinkKey, Parcel, World};
+use crate::nodes::{Node, NodeState};
+use crate::random::RandomStream;
+use crate::world::{Bytes, Effect, EndKind, Event, LinkKey, Message, World};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -51,7 +51,7 @@
 }
 
 pub(crate) struct Discovery {
-    chance: Chance,
+    chance: RandomStream,
     /// Changes by their numbers, until discovery has them; then by version, for the agents.
     coming: BTreeMap<u64, Change>,
     changes: u64,
@@ -80,11 +80,17 @@
         nodes: &[Node<C>],
         names: &[String],
         proxies: usize,
-        chance: Chance,
+        chance: RandomStream,
     ) -> Discovery {
         let entry = Entry { health: Health::Ready, started: f64::NEG_INFINITY, changed: 1 };
-        let mean = nodes.iter().map(|n| n.warm).sum::<f64>() / nodes.len().max(1) as f64;
-        let share = |n: &Node<C>| if of.node.weights { (n.warm / mean * 100.0).round() / 100.0 } else { 1.0 };
+        let mean = nodes.iter().map(|n| n.warm_capacity).sum::<f64>() / nodes.len().max(1) as f64;
+        let share = |n: &Node<C>| {
+            if of.node.weights {
+                (n.warm_capacity / mean * 100.0).round() / 100.0
+            } else {
+                1.0
+            }
+        };
         Discovery {
             chance,
             coming: BTreeMap::new(),
@@ -152,17 +158,17 @@
 impl World {
     /// What has become of a node gets to discovery after a while.
     pub(crate) fn change_listing(&mut self, now: f64, node: usize, after: Range) {
-        let (state, started) = (self.nodes[node].state, self.nodes[node].started);
+        let (state, started) = (self.nodes[node].state, self.nodes[node].started_at);
         let health = match state {
-            State::Up => Health::Ready,
-            State::Draining => Health::Draining,
-            State::Dead | State::Silent => Health::Gone,
+            NodeState::Up => Health::Ready,
+            NodeState::Draining => Health::Draining,
+            NodeState::Dead | NodeState::Silent => Health::Gone,
         };
         let discovery = &mut self.discovery;
         discovery.changes += 1;
         discovery.coming.insert(discovery.changes, Change { node, health, started });
-        let at = now + discovery.chance.within(after) + discovery.late;
-        self.queue.put(at, Due::Listed(discovery.changes));
+        let at = now + discovery.chance.uniform_in(after) + discovery.late;
+        self.queue.push(at, Event::Listed(discovery.changes));
     }
 
     /// Discovery has it, unless a newer state of that node has overtaken it.
@@ -174,8 +180,8 @@
         discovery.versions.push(change);
         let version = discovery.versions.len() as u64 + 1;
         for agent in 0..discovery.agents.len() {
-            let at = now + self.of.discovery.spread * discovery.chance.part();
-            self.queue.put(at, Due::Agent(agent, version));
+            let at = now + self.experiment.discovery.propagation_spread * discovery.chance.uniform();
+            self.queue.push(at, Event::Agent(agent, version));
         }
     }
 
@@ -218,19 +224,19 @@
         if !self.discovery.agents[n].silent {
             self.chunk(now, link, "\n");
         }
-        self.queue.put(now + BEAT, Due::Beat(n, link));
+        self.queue.push(now + BEAT, Event::Beat(n, link));
     }
 
     /// `at` names the proxy's agent by the address that was dialled: the proxy's own, of the so-many-th generation.
-    pub(crate) fn agent_gets(&mut self, now: f64, at: usize, key: LinkKey, parcel: Parcel) {
+    pub(crate) fn agent_gets(&mut self, now: f64, at: usize, key: LinkKey, parcel: Message) {
         let n = self.links[key].proxy;
         match parcel {
-            Parcel::Open => {
+            Message::Open => {
                 // The old address takes no new connection once there is another.
                 let answers = self.discovery.agents[n].address == at;
-                self.post(now, key, true, Parcel::Answer(answers));
+                self.post(now, key, true, Message::Answer(answers));
             }
-            Parcel::Bytes(bytes) => {
+            Message::Bytes(bytes) => {
                 let agent = &mut self.discovery.agents[n];
                 if agent.silent {
                     return;
@@ -254,29 +260,29 @@
                 agent.watches.push(Watch { link: key, written: agent.version });
                 self.say(now, key, b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
                 self.chunk(now, key, &format!("{list}\n"));
-                self.queue.put(now + BEAT, Due::Beat(n, key));
+                self.queue.push(now + BEAT, Event::Beat(n, key));
             }
-            Parcel::End(_) => {
+            Message::End(_) => {
                 self.agent_closes(now, n, key);
             }
-            Parcel::Answer(_) => {}
+            Message::Answer(_) => {}
         }
     }
 
     pub(crate) fn agent_closes(&mut self, now: f64, n: usize, key: LinkKey) {
         let agent = &mut self.discovery.agents[n];
         agent.watches.retain(|watch| watch.link != key);
-        self.leave(now, key, How::Closed);
+        self.leave(now, key, EndKind::Closed);
     }
 
     /// Discovery starts anew and counts its versions from one again; its watches end.
     pub(crate) fn discovery_restarts(&mut self, now: f64) {
-        self.service.mark(now, "discovery starts anew".into());
+        self.service.annotate(now, "discovery starts anew".into());
         for n in 0..self.discovery.agents.len() {
             let agent = &mut self.discovery.agents[n];
             agent.offset = agent.version - 1;
             for watch in std::mem::take(&mut agent.watches) {
-                self.leave(now, watch.link, How::Closed);
+                self.leave(now, watch.link, EndKind::Closed);
             }
         }
     }
@@ -287,26 +293,26 @@
         agent.address += 1;
         let address = agent.address;
         for watch in &agent.watches {
-            self.queue.put(now + 1.5, Due::AgentCloses(proxy, watch.link));
+            self.queue.push(now + 1.5, Event::AgentCloses(proxy, watch.link));
         }
-        self.service.mark(now, format!("proxy {proxy} is configured anew"));
-        if self.proxies[proxy].up {
-            self.ask(Effect::Renew(proxy, address));
+        self.service.annotate(now, format!("proxy {proxy} is configured anew"));
+        if self.proxies[proxy].listening {
+            self.ask(Effect::Reconfigure(proxy, address));
         }
     }
 
     /// Tells the Unix time at which the experiment begins, on hosts that live by the clock.
-    pub fn begins_at(&mut self, epoch: f64) {
+    pub fn set_epoch(&mut self, epoch: f64) {
         self.discovery.epoch = epoch;
     }
 
     /// From this second on all machines' wall clocks are wrong by so many seconds.
-    pub fn steps_clock(&mut self, from: f64, by: f64) {
+    pub fn schedule_clock_step(&mut self, from: f64, by: f64) {
         self.discovery.clock_step = (from, by);
     }
 
     /// Tells where each proxy reaches each node; hosts choose the addresses.
-    pub fn address_nodes(&mut self, address: impl Fn(usize, usize) -> String) {
+    pub fn set_node_addresses(&mut self, address: impl Fn(usize, usize) -> String) {
         for (p, row) in self.discovery.addresses.iter_mut().enumerate() {
             for (n, one) in row.iter_mut().enumerate() {
                 *one = address(p, n);
--- a/crates/dewhead-world/src/experiment.rs
+++ b/crates/dewhead-world/src/experiment.rs
@@ -12,7 +12,8 @@
 pub struct Experiment {
     pub name: String,
     /// What it is meant to show, in a sentence.
-    pub about: String,
+    #[serde(rename = "about")]
+    pub description: String,
     /// How long it lasts, in seconds.
     pub seconds: f64,
     /// The seeds played where none are asked for.
@@ -20,17 +21,17 @@
     pub fleet: Fleet,
     #[serde(rename = "machine")]
     pub machines: Vec<Machine>,
-    pub node: NodeWays,
+    pub node: NodeBehaviour,
     pub load: Load,
     #[serde(rename = "traffic")]
     pub traffic: Vec<Traffic>,
     #[serde(rename = "shop")]
-    pub shops: Vec<Shop>,
+    pub tenants: Vec<Tenant>,
     pub clients: Clients,
     pub network: Network,
     pub front: Front,
     pub discovery: Discovery,
-    pub proxy: ProxyWays,
+    pub proxy: ProxyBehaviour,
     pub rules: Rules,
     #[serde(rename = "trouble")]
     pub troubles: Vec<Trouble>,
@@ -45,7 +46,8 @@
     pub proxies: usize,
     pub nodes: usize,
     /// So many nodes of one zone are a cell.
-    pub cell: usize,
+    #[serde(rename = "cell")]
+    pub cell_size: usize,
 }
 
 /// A kind of machine that nodes run on.
@@ -60,25 +62,32 @@
     pub speed: Range,
     /// What part of its capacity a node has when it has just started, and how long until it has all.
     pub cold_share: Range,
-    pub warm_after: Range,
+    #[serde(rename = "warm_after")]
+    pub warm_up_time: Range,
 }
 
 /// How node processes behave.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct NodeWays {
+pub struct NodeBehaviour {
     /// Connections held for each core at the most; more get `BUSY`.
-    pub connections_a_core: f64,
+    #[serde(rename = "connections_a_core")]
+    pub connections_per_core: f64,
     /// Core-seconds of work to set one connection up.
-    pub set_up_work: f64,
+    #[serde(rename = "set_up_work")]
+    pub setup_work: f64,
     /// Seconds of work that may wait before a node answers `BUSY` to what is new.
-    pub longest_queue: f64,
+    #[serde(rename = "longest_queue")]
+    pub max_queue: f64,
     /// Whether `LOAD` lines are written.
-    pub tells_load: bool,
+    #[serde(rename = "tells_load")]
+    pub reports_load: bool,
     /// Whether lines come back at once, however much work is piled up; else in their turn.
-    pub echoes_at_once: bool,
+    #[serde(rename = "echoes_at_once")]
+    pub echoes_immediately: bool,
     /// Seconds of piled-up work from which on the newest connections are broken off; 0 for never.
-    pub sheds_from: f64,
+    #[serde(rename = "sheds_from")]
+    pub shed_threshold: f64,
     /// Over how many seconds a drain sends clients away; 0 for all at once.
     pub drain_spread: f64,
     /// Whether the list's shares follow the machines' capacities, or are all 1.
@@ -96,7 +105,8 @@
     /// How unevenly clients are spread over the zones: 0 for evenly, 1 for all in the first.
     pub zone_skew: f64,
     /// Whether the connections of a running service stand already when the experiment begins.
-    pub warm: bool,
+    #[serde(rename = "warm")]
+    pub prewarmed: bool,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -105,7 +115,8 @@
     pub name: String,
     /// Its part of the clients.
     pub share: f64,
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub repeatability: Repeatability,
     /// For referenced calls: how long a mark is remembered, and by which servers.
     pub window: f64,
     pub scope: Scope,
@@ -114,11 +125,14 @@
     pub load_sigma: f64,
     pub swing_sigma: f64,
     /// Seconds between changes of a connection's load, in the mean, and the part of the time that it asks nothing.
-    pub change: f64,
+    #[serde(rename = "change")]
+    pub change_interval: f64,
     pub idle: f64,
     /// How long a client stays, in the mean, and the tail's shape (over 1; the lower, the heavier).
-    pub life: f64,
-    pub life_shape: f64,
+    #[serde(rename = "life")]
+    pub lifetime: f64,
+    #[serde(rename = "life_shape")]
+    pub lifetime_shape: f64,
     pub setup_target: f64,
     pub guard_time: f64,
     pub message_target: f64,
@@ -127,7 +141,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Effect {
+pub enum Repeatability {
     Repeatable,
     Referenced,
     OnceOnly,
@@ -143,7 +157,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Shop {
+pub struct Tenant {
     pub name: String,
     pub share: f64,
     /// What it brings against its share.
@@ -157,13 +171,17 @@
     pub retries: Range,
     pub pause: Range,
     /// The part of the clients that stay away as long as they are told to.
-    pub honour: f64,
+    #[serde(rename = "honour")]
+    pub honours_retry_after: f64,
     /// How long after a break or a `MOVE` a client comes again.
-    pub rejoin: Range,
+    #[serde(rename = "rejoin")]
+    pub reconnect_delay: Range,
     /// Seconds between a client's lines.
-    pub line_every: f64,
+    #[serde(rename = "line_every")]
+    pub line_interval: f64,
     /// The part of the clients that go on writing on a connection after `MOVE`, until it is closed.
-    pub lingering: f64,
+    #[serde(rename = "lingering")]
+    pub ignore_move_share: f64,
     /// Whether clients tell a guess at their load, and its sigma.
     pub hints: bool,
     pub hint_sigma: f64,
@@ -173,20 +191,24 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
     /// One-way times: within a zone, between zones, between clients and proxies.
-    pub same: Range,
-    pub cross: Range,
+    #[serde(rename = "same")]
+    pub within_zone: Range,
+    #[serde(rename = "cross")]
+    pub cross_zone: Range,
     pub client: Range,
     /// A message takes up to this part longer, by chance.
     pub jitter: f64,
     /// The part of all messages that arrive in two pieces.
-    pub cuts: f64,
+    #[serde(rename = "cuts")]
+    pub split_share: f64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Front {
     /// For how long it goes on sending to a dead proxy.
-    pub notice: Range,
+    #[serde(rename = "notice")]
+    pub failure_notice: Range,
     /// For how long new clients go on coming after a proxy was told to stop.
     pub stop_notice: Range,
 }
@@ -195,24 +217,29 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
     /// How long after it happens discovery has: a process that died, a machine that went silent, a new one.
-    pub notice: Range,
+    #[serde(rename = "notice")]
+    pub failure_notice: Range,
     pub silent_notice: Range,
-    pub add: Range,
+    #[serde(rename = "add")]
+    pub update_notice: Range,
     /// How far apart proxies hear of one change.
-    pub spread: f64,
+    #[serde(rename = "spread")]
+    pub propagation_spread: f64,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct ProxyWays {
+pub struct ProxyBehaviour {
     /// Seconds from a start until the process listens.
-    pub start: Range,
+    #[serde(rename = "start")]
+    pub start_delay: Range,
     /// Over how many seconds an old process sends its clients away once another has taken its place.
     pub leave_in: f64,
     /// The multiple of a cold node's capacity that proxies are told where that is not the rule's own; too high, they
     /// send more than the rule allows.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub told_fall_multiple: Option<f64>,
+    #[serde(rename = "told_fall_multiple")]
+    pub configured_overload_multiple: Option<f64>,
     pub sockets: usize,
     pub memory_mb: u64,
 }
@@ -221,18 +248,24 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    pub most_legs: u32,
+    #[serde(rename = "most_legs")]
+    pub max_legs: u32,
     pub second_copies: bool,
     pub retry_after: bool,
-    pub longest_stay_away: f64,
+    #[serde(rename = "longest_stay_away")]
+    pub max_retry_after: f64,
     pub connect_timeout: f64,
     pub drain_grace: f64,
     /// A cold node sent more than this many times its present capacity for so long falls over.
-    pub fall_multiple: f64,
-    pub fall_after: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    #[serde(rename = "fall_after")]
+    pub overload_window: f64,
     /// What crossing zones and moving cost, as proxies are told it.
-    pub crossing: f64,
-    pub moving: f64,
+    #[serde(rename = "crossing")]
+    pub cross_zone_cost: f64,
+    #[serde(rename = "moving")]
+    pub move_cost: f64,
 }
 
 /// A trouble: its kind, when it comes, how long it lasts. What else counts depends on the kind.
@@ -242,13 +275,16 @@
     pub kind: String,
     pub at: f64,
     #[serde(default = "ten")]
-    pub lasts: f64,
+    #[serde(rename = "lasts")]
+    pub duration: f64,
     /// What part of those that can be hit is.
     #[serde(default = "half")]
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub fraction: f64,
     /// How hard: a multiple, or a part; each kind says which.
     #[serde(default = "two")]
-    pub size: f64,
+    #[serde(rename = "size")]
+    pub magnitude: f64,
     /// How many at a time, where they are hit in turn.
     #[serde(default = "one")]
     pub at_a_time: usize,
@@ -257,7 +293,8 @@
     pub zone: Option<String>,
     /// Only this traffic type or shop, where that is meant.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub of: Option<String>,
+    #[serde(rename = "of")]
+    pub subject: Option<String>,
 }
 
 fn ten() -> f64 {
@@ -285,10 +322,10 @@
         };
         let machine =
             |name: &str, share: f64, speed| Machine { name: name.into(), share, speed, ..Machine::default() };
-        let shop = |name: &str, share: f64| Shop { name: name.into(), share, usage: 1.0 };
+        let shop = |name: &str, share: f64| Tenant { name: name.into(), share, usage: 1.0 };
         Experiment {
             name: "unnamed".into(),
-            about: String::new(),
+            description: String::new(),
             seconds: 60.0,
             seeds: vec![1],
             fleet: Fleet::default(),
@@ -297,7 +334,7 @@
                 machine("middle", 0.4, [1.0, 1.4]),
                 machine("small", 0.35, [0.6, 0.9]),
             ],
-            node: NodeWays::default(),
+            node: NodeBehaviour::default(),
             load: Load::default(),
             traffic: vec![
                 traffic("menus", 0.45, 0.006, 3.0, 3.0),
@@ -305,12 +342,12 @@
                 traffic("baskets", 0.2, 0.03, 2.0, 5.0),
                 traffic("couriers", 0.15, 0.03, 2.5, 2.0),
             ],
-            shops: vec![shop("north", 0.5), shop("south", 0.3), shop("island", 0.2)],
+            tenants: vec![shop("north", 0.5), shop("south", 0.3), shop("island", 0.2)],
             clients: Clients::default(),
             network: Network::default(),
             front: Front::default(),
             discovery: Discovery::default(),
-            proxy: ProxyWays::default(),
+            proxy: ProxyBehaviour::default(),
             rules: Rules::default(),
             troubles: Vec::new(),
             matrix: BTreeMap::new(),
@@ -320,7 +357,7 @@
 
 impl Default for Fleet {
     fn default() -> Self {
-        Fleet { zones: vec!["east".into(), "west".into()], proxies: 3, nodes: 10, cell: 4 }
+        Fleet { zones: vec!["east".into(), "west".into()], proxies: 3, nodes: 10, cell_size: 4 }
     }
 }
 
@@ -332,20 +369,20 @@
             cores: 4.0,
             speed: [1.0, 1.0],
             cold_share: [0.15, 0.35],
-            warm_after: [10.0, 20.0],
+            warm_up_time: [10.0, 20.0],
         }
     }
 }
 
-impl Default for NodeWays {
+impl Default for NodeBehaviour {
     fn default() -> Self {
-        NodeWays {
-            connections_a_core: 800.0,
-            set_up_work: 0.005,
-            longest_queue: 4.0,
-            tells_load: true,
-            echoes_at_once: true,
-            sheds_from: 3.0,
+        NodeBehaviour {
+            connections_per_core: 800.0,
+            setup_work: 0.005,
+            max_queue: 4.0,
+            reports_load: true,
+            echoes_immediately: true,
+            shed_threshold: 3.0,
             drain_spread: 0.0,
             weights: true,
         }
@@ -354,7 +391,7 @@
 
 impl Default for Load {
     fn default() -> Self {
-        Load { utilisation: 0.5, swing: 0.2, period: 30.0, zone_skew: 0.1, warm: true }
+        Load { utilisation: 0.5, swing: 0.2, period: 30.0, zone_skew: 0.1, prewarmed: true }
     }
 }
 
@@ -363,16 +400,16 @@
         Traffic {
             name: "plain".into(),
             share: 1.0,
-            effect: Effect::Repeatable,
+            repeatability: Repeatability::Repeatable,
             window: 5.0,
             scope: Scope::All,
             load: 0.02,
             load_sigma: 1.0,
             swing_sigma: 0.5,
-            change: 10.0,
+            change_interval: 10.0,
             idle: 0.2,
-            life: 60.0,
-            life_shape: 2.5,
+            lifetime: 60.0,
+            lifetime_shape: 2.5,
             setup_target: 0.4,
             guard_time: 2.0,
             message_target: 0.1,
@@ -381,9 +418,9 @@
     }
 }
 
-impl Default for Shop {
+impl Default for Tenant {
     fn default() -> Self {
-        Shop { name: "plain".into(), share: 1.0, usage: 1.0 }
+        Tenant { name: "plain".into(), share: 1.0, usage: 1.0 }
     }
 }
 
@@ -392,10 +429,10 @@
         Clients {
             retries: [1.0, 3.0],
             pause: [0.02, 0.1],
-            honour: 0.85,
-            rejoin: [0.15, 1.0],
-            line_every: 2.0,
-            lingering: 0.0,
+            honours_retry_after: 0.85,
+            reconnect_delay: [0.15, 1.0],
+            line_interval: 2.0,
+            ignore_move_share: 0.0,
             hints: true,
             hint_sigma: 0.3,
         }
@@ -405,33 +442,38 @@
 impl Default for Network {
     fn default() -> Self {
         Network {
-            same: [0.0001, 0.0003],
-            cross: [0.0015, 0.0025],
+            within_zone: [0.0001, 0.0003],
+            cross_zone: [0.0015, 0.0025],
             client: [0.0004, 0.0009],
             jitter: 0.2,
-            cuts: 0.02,
+            split_share: 0.02,
         }
     }
 }
 
 impl Default for Front {
     fn default() -> Self {
-        Front { notice: [1.0, 3.5], stop_notice: [0.2, 0.4] }
+        Front { failure_notice: [1.0, 3.5], stop_notice: [0.2, 0.4] }
     }
 }
 
 impl Default for Discovery {
     fn default() -> Self {
-        Discovery { notice: [2.0, 5.0], silent_notice: [4.0, 10.0], add: [0.4, 2.0], spread: 0.1 }
+        Discovery {
+            failure_notice: [2.0, 5.0],
+            silent_notice: [4.0, 10.0],
+            update_notice: [0.4, 2.0],
+            propagation_spread: 0.1,
+        }
     }
 }
 
-impl Default for ProxyWays {
+impl Default for ProxyBehaviour {
     fn default() -> Self {
-        ProxyWays {
-            start: [0.05, 0.3],
+        ProxyBehaviour {
+            start_delay: [0.05, 0.3],
             leave_in: 5.0,
-            told_fall_multiple: None,
+            configured_overload_multiple: None,
             sockets: 40_000,
             memory_mb: 1024,
         }
@@ -441,23 +483,23 @@
 impl Default for Rules {
     fn default() -> Self {
         Rules {
-            most_legs: 3,
+            max_legs: 3,
             second_copies: false,
             retry_after: true,
-            longest_stay_away: 1.5,
+            max_retry_after: 1.5,
             connect_timeout: 0.2,
             drain_grace: 0.5,
-            fall_multiple: 2.5,
-            fall_after: 2.0,
-            crossing: 0.1,
-            moving: 0.01,
+            overload_multiple: 2.5,
+            overload_window: 2.0,
+            cross_zone_cost: 0.1,
+            move_cost: 0.01,
         }
     }
 }
 
 impl Experiment {
     /// Reads one from TOML; a fault is one line that names the key, and where it stands in the text.
-    pub fn read(text: &str) -> Result<Experiment, String> {
+    pub fn parse(text: &str) -> Result<Experiment, String> {
         let table =
             toml::from_str::<toml::Table>(text).map_err(|e| e.to_string().trim().replace('\n', " "))?;
         Experiment::of(toml::Value::Table(table))
@@ -471,7 +513,7 @@
     }
 
     /// One experiment for each point of the matrix, with the point in words; itself alone where there is no matrix.
-    pub fn points(&self) -> Result<Vec<(String, Experiment)>, String> {
+    pub fn matrix_points(&self) -> Result<Vec<(String, Experiment)>, String> {
         let mut bare = self.clone();
         bare.matrix.clear();
         let whole = toml::Value::try_from(&bare).map_err(|e| e.to_string())?;
@@ -507,10 +549,10 @@
         must(!self.fleet.zones.is_empty(), "fleet.zones", "names no zone")?;
         must((1..=1000).contains(&self.fleet.proxies), "fleet.proxies", "must be from 1 to 1000")?;
         must((1..=1000).contains(&self.fleet.nodes), "fleet.nodes", "must be from 1 to 1000")?;
-        must(self.fleet.cell > 0, "fleet.cell", "must be over 0")?;
+        must(self.fleet.cell_size > 0, "fleet.cell", "must be over 0")?;
         must(!self.machines.is_empty(), "machine", "names no machine")?;
         must(!self.traffic.is_empty(), "traffic", "names no traffic type")?;
-        must(!self.shops.is_empty(), "shop", "names no shop")?;
+        must(!self.tenants.is_empty(), "shop", "names no shop")?;
         must(
             self.load.utilisation >= 0.0 && self.load.utilisation <= 10.0,
             "load.utilisation",
@@ -519,16 +561,20 @@
         must((0.0..=1.0).contains(&self.load.swing), "load.swing", "must be from 0 to 1")?;
         must((0.0..=1.0).contains(&self.load.zone_skew), "load.zone_skew", "must be from 0 to 1")?;
         must(self.load.period > 0.0, "load.period", "must be over 0")?;
-        must(self.clients.line_every >= 0.1, "clients.line_every", "must be 0.1 at the least")?;
-        must((0.0..=1.0).contains(&self.clients.lingering), "clients.lingering", "must be from 0 to 1")?;
-        must(self.rules.most_legs >= 1, "rules.most_legs", "must be 1 at the least")?;
+        must(self.clients.line_interval >= 0.1, "clients.line_every", "must be 0.1 at the least")?;
+        must(
+            (0.0..=1.0).contains(&self.clients.ignore_move_share),
+            "clients.lingering",
+            "must be from 0 to 1",
+        )?;
+        must(self.rules.max_legs >= 1, "rules.most_legs", "must be 1 at the least")?;
         for (n, one) in self.traffic.iter().enumerate() {
             let key = |name: &str| format!("traffic[{n}].{name}");
             must(one.guard_time > 0.0, &key("guard_time"), "must be over 0")?;
-            must(one.life > 0.0, &key("life"), "must be over 0")?;
-            must(one.life_shape > 1.0, &key("life_shape"), "must be over 1")?;
+            must(one.lifetime > 0.0, &key("life"), "must be over 0")?;
+            must(one.lifetime_shape > 1.0, &key("life_shape"), "must be over 1")?;
             must(one.load > 0.0, &key("load"), "must be over 0")?;
-            must(one.change > 0.0, &key("change"), "must be over 0")?;
+            must(one.change_interval > 0.0, &key("change"), "must be over 0")?;
             must((0.0..1.0).contains(&one.idle), &key("idle"), "must be from 0 to under 1")?;
             let plain =
                 !one.name.is_empty() && one.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
@@ -546,9 +592,9 @@
         }
         for (n, one) in self.troubles.iter().enumerate() {
             let key = |name: &str| format!("trouble[{n}].{name}");
-            crate::troubles::known(&one.kind).map_err(|e| format!("key '{}': {e}", key("kind")))?;
-            must(one.at >= 0.0 && one.lasts > 0.0, &key("at"), "must be 0 or over, and 'lasts' over 0")?;
-            must((0.0..=1.0).contains(&one.part), &key("part"), "must be from 0 to 1")?;
+            crate::troubles::find_kind(&one.kind).map_err(|e| format!("key '{}': {e}", key("kind")))?;
+            must(one.at >= 0.0 && one.duration > 0.0, &key("at"), "must be 0 or over, and 'lasts' over 0")?;
+            must((0.0..=1.0).contains(&one.fraction), &key("part"), "must be from 0 to 1")?;
             must(one.at_a_time > 0, &key("at_a_time"), "must be over 0")?;
             if let Some(zone) = &one.zone {
                 must(self.fleet.zones.contains(zone), &key("zone"), "names no zone of the fleet")?;
--- a/crates/dewhead-world/src/lib.rs
+++ b/crates/dewhead-world/src/lib.rs
@@ -9,16 +9,16 @@
 //! The same seed gives the same trace, whatever host plays it: nothing here hangs on hash order, threads or a clock.
 
 pub mod audit;
-pub mod chance;
 pub mod clients;
 pub mod discovery;
 pub mod experiment;
 pub mod front;
 pub mod network;
+pub(crate) mod node_connections;
 pub mod nodes;
 pub mod queue;
+pub mod random;
 pub mod service;
-pub(crate) mod serving;
 pub mod settings;
 pub mod troubles;
 pub mod world;
--- a/crates/dewhead-world/src/serving.rs
+++ b/crates/dewhead-world/src/node_connections.rs
@@ -1,9 +1,11 @@
 //! The nodes' side of connections: heads read, set-ups begun and done, lines said back, loads told, drains, deaths.
 
 use crate::clients::Stage;
-use crate::nodes::State;
+use crate::nodes::NodeState;
 use crate::troubles::killed_after;
-use crate::world::{Bytes, ClientKey, ConnectionKey, Due, Effect, Far, How, LinkKey, Parcel, Signal, World};
+use crate::world::{
+    Bytes, ClientKey, ConnectionKey, Effect, EndKind, Event, LinkKey, Message, Peer, Signal, World,
+};
 use slotmap::{Key, KeyData};
 
 /// Times that are the same differ by less than this, in seconds.
@@ -49,15 +51,15 @@
         node: usize,
         at: Option<ConnectionKey>,
         key: LinkKey,
-        parcel: Parcel,
+        parcel: Message,
     ) {
         match parcel {
-            Parcel::Open => match self.nodes[node].state {
-                State::Dead => {
-                    self.post(now, key, true, Parcel::Answer(false));
+            Message::Open => match self.nodes[node].state {
+                NodeState::Dead => {
+                    self.post(now, key, true, Message::Answer(false));
                 }
-                State::Silent => {}
-                State::Up | State::Draining => {
+                NodeState::Silent => {}
+                NodeState::Up | NodeState::Draining => {
                     let proxy = self.links[key].proxy;
                     let connection = self.connections.insert(Connection {
                         link: key,
@@ -70,22 +72,22 @@
                         counted: None,
                         line: Bytes::new(),
                     });
-                    self.links[key].far = Far::Node(node, Some(connection));
-                    self.nodes[node].held += 1;
-                    self.post(now, key, true, Parcel::Answer(true));
+                    self.links[key].far = Peer::Node(node, Some(connection));
+                    self.nodes[node].connections += 1;
+                    self.post(now, key, true, Message::Answer(true));
                 }
             },
-            Parcel::Bytes(bytes) => {
+            Message::Bytes(bytes) => {
                 let Some(connection) = at else { return };
                 let Some(one) = self.connections.get_mut(connection) else { return };
                 let mut said: Vec<String> = Vec::new();
                 if one.up {
                     // Every line is said back, in the node's own time.
-                    if self.of.node.echoes_at_once {
-                        self.post(now, key, true, Parcel::Bytes(bytes));
+                    if self.experiment.node.echoes_immediately {
+                        self.post(now, key, true, Message::Bytes(bytes));
                     } else {
-                        let late = self.nodes[node].delay(now);
-                        self.post(now + late, key, true, Parcel::Bytes(bytes));
+                        let late = self.nodes[node].queueing_delay(now);
+                        self.post(now + late, key, true, Message::Bytes(bytes));
                     }
                     return;
                 }
@@ -95,11 +97,11 @@
                     self.asked(now, connection, &head);
                 }
             }
-            Parcel::End(_) => match at {
-                Some(connection) => self.drop_connection(now, connection, How::Closed),
-                None => self.leave(now, key, How::Closed),
+            Message::End(_) => match at {
+                Some(connection) => self.drop_connection(now, connection, EndKind::Closed),
+                None => self.leave(now, key, EndKind::Closed),
             },
-            Parcel::Answer(_) => {}
+            Message::Answer(_) => {}
         }
     }
 
@@ -109,7 +111,7 @@
         let link = self.connections[key].link;
         let refuse = |world: &mut World, text: &[u8]| {
             world.say(now, link, text);
-            world.drop_connection(now, key, How::Closed);
+            world.drop_connection(now, key, EndKind::Closed);
         };
         let mut words = head.split(' ');
         let id = match (words.next(), words.next().map(|id| u64::from_str_radix(id, 16))) {
@@ -129,37 +131,37 @@
         let proxy = one.proxy;
         self.service.counts.legs += 1;
         if self.proxies[proxy].zone != self.nodes[node].zone {
-            self.service.counts.crossing_legs += 1;
+            self.service.counts.cross_zone_legs += 1;
         }
         if self.nodes[node].is_cold(now) {
-            self.nodes[node].brought.push_back((now, proxy, load));
+            self.nodes[node].cold_arrivals.push_back((now, proxy, load));
         }
-        if again && self.nodes[node].state == State::Up {
+        if again && self.nodes[node].state == NodeState::Up {
             return self.set_up_done(now, key);
         }
-        if self.nodes[node].state == State::Draining {
+        if self.nodes[node].state == NodeState::Draining {
             return refuse(self, b"BUSY\r\n");
         }
-        let errors = self.nodes[node].errors;
-        if errors > 0.0 && self.node_chance.happens(errors) {
+        let errors = self.nodes[node].error_share;
+        if errors > 0.0 && self.node_chance.bernoulli(errors) {
             return refuse(self, b"ERR\r\n");
         }
-        let full = self.nodes[node].held > self.nodes[node].most;
+        let full = self.nodes[node].connections > self.nodes[node].max_connections;
         self.nodes[node].advance(now);
-        if full || self.nodes[node].delay(now) > self.of.node.longest_queue {
+        if full || self.nodes[node].queueing_delay(now) > self.experiment.node.max_queue {
             return refuse(self, b"BUSY\r\n");
         }
         // Set-up work differs from one to the next.
-        let work = self.of.node.set_up_work * (0.5 + self.node_chance.part());
-        self.nodes[node].set_up(now, work, key);
+        let work = self.experiment.node.setup_work * (0.5 + self.node_chance.uniform());
+        self.nodes[node].begin_setup(now, work, key);
         self.guess_set_up(now, node);
     }
 
     /// Reckons anew when the next set-up is done.
     pub(crate) fn guess_set_up(&mut self, now: f64, node: usize) {
-        if let Some(at) = self.nodes[node].next_set_up() {
+        if let Some(at) = self.nodes[node].next_setup_time() {
             self.guesses[node] = self.guesses[node].wrapping_add(1);
-            self.queue.put(at.max(now), Due::SetUp(node, self.guesses[node]));
+            self.queue.push(at.max(now), Event::SetUp(node, self.guesses[node]));
         }
     }
 
@@ -167,7 +169,7 @@
         if self.guesses[node] != guess {
             return;
         }
-        while let Some(key) = self.nodes[node].done(now) {
+        while let Some(key) = self.nodes[node].pop_finished_setup(now) {
             if self.connections.get(key).is_some_and(|c| c.node == node) {
                 self.set_up_done(now, key);
             }
@@ -183,33 +185,33 @@
         one.load = load;
         // The first line's place is given back; no later line is read.
         one.line = Bytes::new();
-        self.nodes[node].change(now, load);
+        self.nodes[node].change_load(now, load);
         let mut text = format!("UP {:x}\r\n", key.data().as_ffi());
-        if self.of.node.tells_load {
+        if self.experiment.node.reports_load {
             text.push_str(&format!("LOAD {}\r\n", (load * 1e6).round()));
         }
         self.say(now, link, text.as_bytes());
-        let gap = self.node_chance.gap(self.of.traffic[kind].change);
-        self.queue.put(now + gap, Due::LoadChange(key));
+        let gap = self.node_chance.exponential(self.experiment.traffic[kind].change_interval);
+        self.queue.push(now + gap, Event::LoadChange(key));
     }
 
     pub(crate) fn load_changes(&mut self, now: f64, key: ConnectionKey) {
         let Some(one) = self.connections.get(key) else { return };
         let (link, node, kind, before) = (one.link, one.node, one.kind, one.load);
         let base = one.client.and_then(|c| self.clients.get(c)).map_or(before, |c| c.load);
-        let traffic = &self.of.traffic[kind];
-        let load = if self.node_chance.happens(traffic.idle) {
+        let traffic = &self.experiment.traffic[kind];
+        let load = if self.node_chance.bernoulli(traffic.idle) {
             0.0
         } else {
             base * self.node_chance.lognormal(traffic.swing_sigma)
         };
-        let gap = self.node_chance.gap(traffic.change);
+        let gap = self.node_chance.exponential(traffic.change_interval);
         self.connections[key].load = load;
-        self.nodes[node].change(now, load - before);
-        if self.of.node.tells_load {
+        self.nodes[node].change_load(now, load - before);
+        if self.experiment.node.reports_load {
             self.say(now, link, format!("LOAD {}\r\n", (load * 1e6).round()).as_bytes());
         }
-        self.queue.put(now + gap, Due::LoadChange(key));
+        self.queue.push(now + gap, Event::LoadChange(key));
     }
 
     /// A client has been told that it stands: from now on it counts where it stands.
@@ -218,7 +220,7 @@
         let one = self.connections.get_mut(key)?;
         one.counted = Some(worth);
         let (node, kind) = (one.node, one.kind);
-        self.nodes[node].count(kind, worth);
+        self.nodes[node].add_served(kind, worth);
         Some(key)
     }
 
@@ -227,21 +229,21 @@
         if let Some(one) = self.connections.get_mut(key) {
             if let Some(worth) = one.counted.take() {
                 let (node, kind) = (one.node, one.kind);
-                self.nodes[node].count(kind, -worth);
+                self.nodes[node].add_served(kind, -worth);
             }
         }
     }
 
     /// The node has nothing more to do with a connection.
-    pub(crate) fn drop_connection(&mut self, now: f64, key: ConnectionKey, how: How) {
+    pub(crate) fn drop_connection(&mut self, now: f64, key: ConnectionKey, how: EndKind) {
         self.uncount(key);
         let Some(one) = self.connections.remove(key) else { return };
         let node = &mut self.nodes[one.node];
-        if node.held > 0 {
-            node.held -= 1;
+        if node.connections > 0 {
+            node.connections -= 1;
         }
         if one.up {
-            node.change(now, -one.load);
+            node.change_load(now, -one.load);
         }
         self.leave(now, one.link, how);
     }
@@ -252,14 +254,14 @@
 
     /// A drain: nothing new, and all who stand are sent away.
     pub(crate) fn drain(&mut self, now: f64, node: usize) {
-        self.nodes[node].state = State::Draining;
-        self.service.mark(now, format!("node {node} drains"));
-        self.change_listing(now, node, self.of.discovery.add);
-        let spread = self.of.node.drain_spread;
+        self.nodes[node].state = NodeState::Draining;
+        self.service.annotate(now, format!("node {node} drains"));
+        self.change_listing(now, node, self.experiment.discovery.update_notice);
+        let spread = self.experiment.node.drain_spread;
         for key in self.at_node(node) {
             if self.connections[key].up {
-                let at = now + spread * self.node_chance.part();
-                self.queue.put(at, Due::SendAway(key));
+                let at = now + spread * self.node_chance.uniform();
+                self.queue.push(at, Event::SendAway(key));
             }
         }
     }
@@ -267,55 +269,55 @@
     pub(crate) fn send_away(&mut self, now: f64, key: ConnectionKey) {
         if let Some(one) = self.connections.get(key) {
             self.say(now, one.link, b"MOVE\r\n");
-            self.drop_connection(now, key, How::Closed);
+            self.drop_connection(now, key, EndKind::Closed);
         }
     }
 
     /// The process dies: its connections are reset, new ones refused.
     pub(crate) fn kill_node(&mut self, now: f64, node: usize) {
-        self.service.mark(now, format!("node {node} dies"));
+        self.service.annotate(now, format!("node {node} dies"));
         for key in self.at_node(node) {
-            self.drop_connection(now, key, How::Broken);
+            self.drop_connection(now, key, EndKind::Broken);
         }
-        self.nodes[node].forget(now);
-        self.nodes[node].state = State::Dead;
-        self.change_listing(now, node, self.of.discovery.notice);
+        self.nodes[node].reset(now);
+        self.nodes[node].state = NodeState::Dead;
+        self.change_listing(now, node, self.experiment.discovery.failure_notice);
     }
 
     /// The machine vanishes: nothing comes back, and nobody is told.
     pub(crate) fn silence_node(&mut self, now: f64, node: usize) {
-        self.service.mark(now, format!("node {node} goes silent"));
+        self.service.annotate(now, format!("node {node} goes silent"));
         for key in self.at_node(node) {
             self.uncount(key);
         }
-        self.nodes[node].state = State::Silent;
-        self.change_listing(now, node, self.of.discovery.silent_notice);
+        self.nodes[node].state = NodeState::Silent;
+        self.change_listing(now, node, self.experiment.discovery.silent_notice);
     }
 
     /// A process starts, cold; what an earlier one left open is reset.
     pub(crate) fn start_node(&mut self, now: f64, node: usize) {
-        self.service.mark(now, format!("node {node} starts"));
+        self.service.annotate(now, format!("node {node} starts"));
         // Back on the network first, so that the resets get through.
-        self.nodes[node].state = State::Up;
+        self.nodes[node].state = NodeState::Up;
         for key in self.at_node(node) {
-            self.drop_connection(now, key, How::Broken);
+            self.drop_connection(now, key, EndKind::Broken);
         }
         self.nodes[node].start(now);
-        self.change_listing(now, node, self.of.discovery.add);
+        self.change_listing(now, node, self.experiment.discovery.update_notice);
     }
 
     pub(crate) fn fall_over(&mut self, now: f64, node: usize) {
-        self.service.counts.nodes_fallen += 1;
-        let brought: Vec<(f64, usize, f64)> = self.nodes[node].brought.iter().copied().collect();
-        self.audit.fell(now, node, self.nodes[node].started, &brought);
+        self.service.counts.nodes_crashed += 1;
+        let brought: Vec<(f64, usize, f64)> = self.nodes[node].cold_arrivals.iter().copied().collect();
+        self.audit.fell(now, node, self.nodes[node].started_at, &brought);
         self.kill_node(now, node);
-        self.service.mark(now, format!("node {node} has fallen over"));
+        self.service.annotate(now, format!("node {node} has fallen over"));
     }
 
     /// A node far behind with its work breaks off its newest connections until it can keep up.
     pub(crate) fn shed(&mut self, now: f64, node: usize) {
-        let from = self.of.node.sheds_from;
-        if from <= 0.0 || self.nodes[node].delay(now) < from {
+        let from = self.experiment.node.shed_threshold;
+        if from <= 0.0 || self.nodes[node].queueing_delay(now) < from {
             return;
         }
         let mut standing = self.at_node(node);
@@ -332,7 +334,7 @@
             if self.nodes[node].load() <= able {
                 break;
             }
-            self.drop_connection(now, *key, How::Broken);
+            self.drop_connection(now, *key, EndKind::Broken);
         }
     }
 
@@ -340,19 +342,20 @@
     pub(crate) fn signal(&mut self, now: f64, proxy: usize, signal: Signal) {
         let one = &mut self.proxies[proxy];
         match signal {
-            Signal::Stop | Signal::StopGroup if one.up && !one.is_stopping() => {
-                one.stopped_at = Some(now);
+            Signal::Stop | Signal::StopGroup if one.listening && !one.is_stopping() => {
+                one.stop_requested_at = Some(now);
                 self.front_stops(now, proxy);
             }
             // One that has ended by itself may have left others behind.
             Signal::Kill => {
-                let had_its_time = one.stopped_at.is_some_and(|at| now - at >= killed_after(self) - ROUNDING);
+                let had_its_time =
+                    one.stop_requested_at.is_some_and(|at| now - at >= killed_after(self) - ROUNDING);
                 self.audit.killed(proxy, had_its_time);
             }
-            _ if !one.up => return,
+            _ if !one.listening => return,
             _ => {}
         }
-        self.service.mark(now, format!("proxy {proxy} gets {signal:?}"));
+        self.service.annotate(now, format!("proxy {proxy} gets {signal:?}"));
         self.ask(Effect::Signal(proxy, signal));
     }
 }
--- a/crates/dewhead-world/src/queue.rs
+++ b/crates/dewhead-world/src/queue.rs
@@ -29,33 +29,33 @@
     }
 }
 
-pub struct Queue<T> {
+pub struct EventQueue<T> {
     heap: BinaryHeap<Entry>,
     order: u64,
     slots: Slab<T>,
 }
 
-impl<T> Default for Queue<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), order: 0, slots: Slab::new() }
+        EventQueue { heap: BinaryHeap::new(), order: 0, slots: Slab::new() }
     }
 }
 
-impl<T> Queue<T> {
-    pub fn put(&mut self, at: f64, what: T) {
+impl<T> EventQueue<T> {
+    pub fn push(&mut self, at: f64, what: T) {
         self.order += 1;
         let slot = self.slots.insert(what);
         self.heap.push(Entry { at, order: self.order, slot });
     }
 
     /// When the next is due.
-    pub fn next(&self) -> Option<f64> {
+    pub fn next_time(&self) -> Option<f64> {
         self.heap.peek().map(|e| e.at)
     }
 
     /// The next, if it is due by now.
-    pub fn due(&mut self, now: f64) -> Option<(f64, T)> {
-        if self.next()? > now {
+    pub fn pop_due(&mut self, now: f64) -> Option<(f64, T)> {
+        if self.next_time()? > now {
             return None;
         }
         let entry = self.heap.pop()?;
--- a/crates/dewhead-world/src/chance.rs
+++ b/crates/dewhead-world/src/random.rs
@@ -7,7 +7,7 @@
 
 /// What a stream is for.
 #[derive(Clone, Copy, Debug)]
-pub enum Of {
+pub enum StreamPurpose {
     Arrivals = 1,
     Client,
     Fleet,
@@ -21,39 +21,39 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Chance(Pcg64);
+pub struct RandomStream(Pcg64);
 
-impl Chance {
+impl RandomStream {
     /// The `n`-th stream for this purpose.
-    pub fn of(seed: u64, what: Of, n: u64) -> Chance {
+    pub fn new(seed: u64, what: StreamPurpose, n: u64) -> RandomStream {
         let mixed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ n.wrapping_mul(0xd134_2543_de82_ef95);
-        Chance(Pcg64::seed_from_u64(mixed ^ (what as u64) << 56))
+        RandomStream(Pcg64::seed_from_u64(mixed ^ (what as u64) << 56))
     }
 
     /// From 0 to 1, without 1.
-    pub fn part(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.0.random::<f64>()
     }
 
-    pub fn happens(&mut self, share: f64) -> bool {
-        self.part() < share
+    pub fn bernoulli(&mut self, share: f64) -> bool {
+        self.uniform() < share
     }
 
-    pub fn within(&mut self, [least, most]: [f64; 2]) -> f64 {
-        least + (most - least) * self.part()
+    pub fn uniform_in(&mut self, [least, most]: [f64; 2]) -> f64 {
+        least + (most - least) * self.uniform()
     }
 
     /// A place in a list of so many; 0 for an empty one.
-    pub fn place(&mut self, of: usize) -> usize {
-        ((self.part() * of as f64) as usize).min(of.saturating_sub(1))
+    pub fn index(&mut self, of: usize) -> usize {
+        ((self.uniform() * of as f64) as usize).min(of.saturating_sub(1))
     }
 
-    pub fn bits(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0.random::<u64>()
     }
 
     /// A gap between events that come at random, by its mean.
-    pub fn gap(&mut self, mean: f64) -> f64 {
+    pub fn exponential(&mut self, mean: f64) -> f64 {
         let one: f64 = Exp1.sample(&mut self.0);
         one * mean
     }
@@ -67,7 +67,7 @@
     }
 
     /// With a heavy tail of this shape (over 1), the mean 1; capped at 200 times the mean, as nobody stays for ever.
-    pub fn heavy(&mut self, shape: f64) -> f64 {
+    pub fn pareto(&mut self, shape: f64) -> f64 {
         match Pareto::new((shape - 1.0) / shape, shape) {
             Ok(tail) if shape > 1.0 => tail.sample(&mut self.0).min(200.0),
             _ => 1.0,
@@ -75,8 +75,8 @@
     }
 
     /// A place by weights; the last where they sum to nothing.
-    pub fn weighted(&mut self, weights: impl Iterator<Item = f64> + Clone) -> usize {
-        let mut left = self.part() * weights.clone().sum::<f64>();
+    pub fn weighted_index(&mut self, weights: impl Iterator<Item = f64> + Clone) -> usize {
+        let mut left = self.uniform() * weights.clone().sum::<f64>();
         let mut last = 0;
         for (at, weight) in weights.enumerate() {
             last = at;
--- a/crates/dewhead-world/src/service.rs
+++ b/crates/dewhead-world/src/service.rs
@@ -49,23 +49,28 @@
     pub broken: u64,
     pub ended: u64,
     pub legs: u64,
-    pub crossing_legs: u64,
-    pub late_set_ups: u64,
-    pub nodes_fallen: u64,
-    pub bad_clients: u64,
-    pub bad_left: u64,
+    #[serde(rename = "crossing_legs")]
+    pub cross_zone_legs: u64,
+    #[serde(rename = "late_set_ups")]
+    pub late_setups: u64,
+    #[serde(rename = "nodes_fallen")]
+    pub nodes_crashed: u64,
+    #[serde(rename = "bad_clients")]
+    pub misbehaving_clients: u64,
+    #[serde(rename = "bad_left")]
+    pub misbehaving_clients_unanswered: u64,
 }
 
-pub struct Service {
+pub struct ServiceMetrics {
     kinds: usize,
     wanted: Vec<Meter>,
     served: Vec<Meter>,
-    pub set_ups: Vec<Histogram<u64>>,
+    pub setup_times: Vec<Histogram<u64>>,
     pub counts: Counts,
     /// By the second: load, capacity and connections of each node; connections of each proxy; moves and restarts.
     pub nodes: Vec<Vec<(f32, f32, u32)>>,
     pub proxies: Vec<Vec<u32>>,
-    pub marks: Vec<(f64, String)>,
+    pub annotations: Vec<(f64, String)>,
 }
 
 /// What a run comes to.
@@ -74,58 +79,62 @@
     /// Revenue served well over revenue asked for.
     pub service: f64,
     /// The same in the worst ten seconds, and of the worst traffic type.
-    pub worst_ten: f64,
+    #[serde(rename = "worst_ten")]
+    pub worst_ten_seconds: f64,
     pub worst_type: f64,
     pub by_type: Vec<f64>,
     /// Set-up times in seconds: median, 99 and 99.9 in a hundred.
-    pub set_up: [f64; 3],
+    #[serde(rename = "set_up")]
+    pub setup_times: [f64; 3],
     /// Set-up times in milliseconds at some parts of all.
-    pub quantiles: Vec<(f64, f64)>,
+    #[serde(rename = "quantiles")]
+    pub setup_quantiles: Vec<(f64, f64)>,
     pub counts: Counts,
     /// Revenue wanted and served, by the second.
-    pub wanted: Vec<f64>,
+    #[serde(rename = "wanted")]
+    pub demand: Vec<f64>,
     pub served: Vec<f64>,
 }
 
-impl Service {
-    pub fn new(kinds: usize, nodes: usize, proxies: usize) -> Service {
+impl ServiceMetrics {
+    pub fn new(kinds: usize, nodes: usize, proxies: usize) -> ServiceMetrics {
         let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are sound");
-        Service {
+        ServiceMetrics {
             kinds,
             wanted: (0..kinds).map(|_| Meter::default()).collect(),
             served: (0..kinds).map(|_| Meter::default()).collect(),
-            set_ups: (0..kinds).map(|_| histogram()).collect(),
+            setup_times: (0..kinds).map(|_| histogram()).collect(),
             counts: Counts::default(),
             nodes: vec![Vec::new(); nodes],
             proxies: vec![Vec::new(); proxies],
-            marks: Vec::new(),
+            annotations: Vec::new(),
         }
     }
 
     /// A client wants service of this worth from now on, or no longer.
-    pub fn want(&mut self, now: f64, kind: usize, worth: f64) {
+    pub fn change_demand(&mut self, now: f64, kind: usize, worth: f64) {
         let rate = self.wanted[kind].rate + worth;
         self.wanted[kind].set(now, rate);
     }
 
     /// What is served well from now on, by traffic type.
-    pub fn serve(&mut self, now: f64, rates: &[f64]) {
+    pub fn set_served_rates(&mut self, now: f64, rates: &[f64]) {
         for (meter, rate) in self.served.iter_mut().zip(rates) {
             meter.set(now, *rate);
         }
     }
 
-    pub fn set_up(&mut self, kind: usize, took: f64, target: f64) {
-        self.set_ups[kind].saturating_record((took * 1e6).max(1.0) as u64);
+    pub fn record_setup(&mut self, kind: usize, took: f64, target: f64) {
+        self.setup_times[kind].saturating_record((took * 1e6).max(1.0) as u64);
         if took > target {
-            self.counts.late_set_ups += 1;
+            self.counts.late_setups += 1;
         }
     }
 
-    pub fn mark(&mut self, now: f64, what: String) {
+    pub fn annotate(&mut self, now: f64, what: String) {
         // Told for the reader of a report, who reads a few dozen at the most.
-        if self.marks.len() < 500 {
-            self.marks.push((now, what));
+        if self.annotations.len() < 500 {
+            self.annotations.push((now, what));
         }
     }
 
@@ -144,23 +153,23 @@
         let by_type: Vec<f64> = (0..self.kinds).map(|k| both(k..k + 1, from, to)).collect();
         let windows = from..=to.saturating_sub(10).max(from);
         let mut all = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("the bounds are sound");
-        for one in &self.set_ups {
+        for one in &self.setup_times {
             all.add(one).expect("they have the same bounds");
         }
         let at = |part: f64| all.value_at_quantile(part) as f64 / 1e6;
         let second = |meters: &[Meter], s: usize| meters.iter().map(|m| sum(m, s, s + 1)).sum::<f64>();
         Outcome {
             service: both(0..self.kinds, from, to),
-            worst_ten: windows.map(|w| both(0..self.kinds, w, (w + 10).min(to))).fold(1.0, f64::min),
+            worst_ten_seconds: windows.map(|w| both(0..self.kinds, w, (w + 10).min(to))).fold(1.0, f64::min),
             worst_type: by_type.iter().copied().fold(1.0, f64::min),
             by_type,
-            set_up: [at(0.5), at(0.99), at(0.999)],
-            quantiles: all
+            setup_times: [at(0.5), at(0.99), at(0.999)],
+            setup_quantiles: all
                 .iter_quantiles(4)
                 .map(|v| (v.quantile(), v.value_iterated_to() as f64 / 1e3))
                 .collect(),
             counts: self.counts.clone(),
-            wanted: (0..to).map(|s| second(&self.wanted, s)).collect(),
+            demand: (0..to).map(|s| second(&self.wanted, s)).collect(),
             served: (0..to).map(|s| second(&self.served, s)).collect(),
         }
     }
--- a/crates/dewhead-world/src/troubles/alone.rs
+++ b/crates/dewhead-world/src/troubles/alone.rs
@@ -1,24 +1,24 @@
 //! All proxies but one are stopped at once and come back after a while; the one that stays carries everything.
 
-use super::Kind;
+use super::TroubleKind;
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "alone",
-    about: "all proxies but one get SIGTERM and start again after 'lasts' seconds",
+    description: "all proxies but one get SIGTERM and start again after 'lasts' seconds",
     act,
 };
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
-        let stays = world.trouble_chance[n].place(world.proxies.len());
+        let stays = world.trouble_chance[n].index(world.proxies.len());
         let others: Vec<usize> = (0..world.proxies.len()).filter(|p| *p != stays).collect();
         for proxy in &others {
             world.signal(now, *proxy, Signal::Stop);
         }
         world.hit.insert(n, others);
-        return Some(now + trouble.lasts);
+        return Some(now + trouble.duration);
     }
     for proxy in world.hit.remove(&n).unwrap_or_default() {
         world.signal(now, proxy, Signal::Kill);
--- a/crates/dewhead-world/src/troubles/bad_clients.rs
+++ b/crates/dewhead-world/src/troubles/bad_clients.rs
@@ -1,12 +1,12 @@
 //! Clients that send what can't be read, say nothing, or never end a line. Each is owed an error or a close.
 
-use super::Kind;
+use super::TroubleKind;
 use crate::experiment::Trouble;
-use crate::world::{Far, How, LinkKey, Parcel, World};
+use crate::world::{EndKind, LinkKey, Message, Peer, World};
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "bad-clients",
-    about: "'size' clients a second, over 'lasts' seconds, send what can't be read",
+    description: "'size' clients a second, over 'lasts' seconds, send what can't be read",
     act,
 };
 
@@ -40,24 +40,24 @@
 }
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
-    let ends = trouble.at + trouble.lasts;
+    let ends = trouble.at + trouble.duration;
     let overdue = world.bad.0.iter().filter(|b| now - b.since > OWED + 0.1).count();
-    world.service.counts.bad_left += overdue as u64;
+    world.service.counts.misbehaving_clients_unanswered += overdue as u64;
     let left: Vec<LinkKey> =
         world.bad.0.iter().filter(|b| now - b.since > OWED + 0.1).map(|b| b.link).collect();
     world.bad.0.retain(|b| now - b.since <= OWED + 0.1);
     for link in left {
-        world.leave(now, link, How::Closed);
+        world.leave(now, link, EndKind::Closed);
     }
     if now < ends {
-        let many = trouble.size * EVERY;
-        let many = many.floor() as usize + usize::from(world.trouble_chance[n].happens(many.fract()));
+        let many = trouble.magnitude * EVERY;
+        let many = many.floor() as usize + usize::from(world.trouble_chance[n].bernoulli(many.fract()));
         for _ in 0..many {
-            let proxy = world.trouble_chance[n].place(world.proxies.len());
-            if !world.proxies[proxy].up {
+            let proxy = world.trouble_chance[n].index(world.proxies.len());
+            if !world.proxies[proxy].listening {
                 continue;
             }
-            let kind = world.trouble_chance[n].place(8);
+            let kind = world.trouble_chance[n].index(8);
             let call = world.calls.keys().next().copied().unwrap_or(1);
             come(world, now, proxy, stage, &words(kind, call));
         }
@@ -71,27 +71,27 @@
 }
 
 fn come(world: &mut World, now: f64, proxy: usize, stage: u32, text: &[u8]) {
-    let link = world.link(proxy, Far::Bad(stage as usize), 5e-4);
-    world.post(now, link, true, Parcel::Open);
+    let link = world.link(proxy, Peer::Bad(stage as usize), 5e-4);
+    world.post(now, link, true, Message::Open);
     for piece in text.chunks(4096) {
         world.say(now, link, piece);
     }
-    world.service.counts.bad_clients += 1;
+    world.service.counts.misbehaving_clients += 1;
     world.bad.0.push(Bad { link, since: now });
 }
 
 /// It has got something: a line or an end, either will do.
-pub(crate) fn gets(world: &mut World, now: f64, _n: usize, key: LinkKey, parcel: Parcel) {
+pub(crate) fn gets(world: &mut World, now: f64, _n: usize, key: LinkKey, parcel: Message) {
     match parcel {
-        Parcel::Open => {}
-        Parcel::Answer(_) => {
+        Message::Open => {}
+        Message::Answer(_) => {
             world.bad.0.retain(|b| b.link != key);
             world.links.remove(key);
         }
-        Parcel::Bytes(_) => world.bad.0.retain(|b| b.link != key),
-        Parcel::End(_) => {
+        Message::Bytes(_) => world.bad.0.retain(|b| b.link != key),
+        Message::End(_) => {
             world.bad.0.retain(|b| b.link != key);
-            world.leave(now, key, How::Closed);
+            world.leave(now, key, EndKind::Closed);
         }
     }
 }
--- a/crates/dewhead-world/src/troubles/burst.rs
+++ b/crates/dewhead-world/src/troubles/burst.rs
@@ -1,16 +1,17 @@
 //! More clients come than usual.
 
-use super::Kind;
+use super::TroubleKind;
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind { name: "burst", about: "'size' times as many clients come", act };
+pub const KIND: TroubleKind =
+    TroubleKind { name: "burst", description: "'size' times as many clients come", act };
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
-        world.crowd.burst *= trouble.size;
-        return Some(now + trouble.lasts);
+        world.crowd.burst *= trouble.magnitude;
+        return Some(now + trouble.duration);
     }
-    world.crowd.burst /= trouble.size;
+    world.crowd.burst /= trouble.magnitude;
     None
 }
--- a/crates/dewhead-world/src/troubles/discovery_late.rs
+++ b/crates/dewhead-world/src/troubles/discovery_late.rs
@@ -1,20 +1,20 @@
 //! What becomes of nodes is known later than usual.
 
-use super::Kind;
+use super::TroubleKind;
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "discovery-late",
-    about: "discovery learns of changes 'size' seconds later than usual",
+    description: "discovery learns of changes 'size' seconds later than usual",
     act,
 };
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
-        world.discovery.late += trouble.size;
-        return Some(now + trouble.lasts);
+        world.discovery.late += trouble.magnitude;
+        return Some(now + trouble.duration);
     }
-    world.discovery.late -= trouble.size;
+    world.discovery.late -= trouble.magnitude;
     None
 }
--- a/crates/dewhead-world/src/troubles/discovery_restart.rs
+++ b/crates/dewhead-world/src/troubles/discovery_restart.rs
@@ -1,12 +1,12 @@
 //! Discovery starts anew, closes its watches and counts its versions from one again.
 
-use super::Kind;
+use super::TroubleKind;
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "discovery-restart",
-    about: "discovery starts anew and counts versions from one again",
+    description: "discovery starts anew and counts versions from one again",
     act,
 };
 
--- a/crates/dewhead-world/src/troubles/discovery_silent.rs
+++ b/crates/dewhead-world/src/troubles/discovery_silent.rs
@@ -1,12 +1,12 @@
 //! Discovery says nothing for a while; its watches stay open.
 
-use super::{choose_proxies, Kind};
+use super::{choose_proxies, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "discovery-silent",
-    about: "the agents of 'part' of the proxies say nothing for 'lasts' seconds",
+    description: "the agents of 'part' of the proxies say nothing for 'lasts' seconds",
     act,
 };
 
@@ -15,7 +15,7 @@
         for proxy in choose_proxies(world, trouble, n) {
             world.discovery.agents[proxy].silent = true;
         }
-        return Some(now + trouble.lasts);
+        return Some(now + trouble.duration);
     }
     for proxy in world.hit.remove(&n).unwrap_or_default() {
         world.discovery.agents[proxy].silent = false;
--- a/crates/dewhead-world/src/troubles/drain.rs
+++ b/crates/dewhead-world/src/troubles/drain.rs
@@ -1,12 +1,13 @@
 //! Nodes are drained one after the other and replaced by new processes, as at a roll-out.
 
-use super::{choose_nodes, Kind};
+use super::{choose_nodes, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "drain",
-    about: "'part' of the nodes are drained, 'at_a_time' of them, and start anew, cold, 'size' seconds later",
+    description:
+        "'part' of the nodes are drained, 'at_a_time' of them, and start anew, cold, 'size' seconds later",
     act,
 };
 
@@ -20,7 +21,7 @@
         for node in hit {
             world.drain(now, node);
         }
-        return Some(now + trouble.size);
+        return Some(now + trouble.magnitude);
     }
     for node in hit {
         world.kill_node(now, node);
--- a/crates/dewhead-world/src/troubles/flood.rs
+++ b/crates/dewhead-world/src/troubles/flood.rs
@@ -1,22 +1,23 @@
 //! One shop's clients come in numbers.
 
-use super::Kind;
+use super::TroubleKind;
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "flood",
-    about: "'size' times as many clients of the shop 'of' (the first if not told) come",
+    description: "'size' times as many clients of the shop 'of' (the first if not told) come",
     act,
 };
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
-    let named = trouble.of.as_ref().and_then(|of| world.of.shops.iter().position(|s| s.name == *of));
+    let named =
+        trouble.subject.as_ref().and_then(|of| world.experiment.tenants.iter().position(|s| s.name == *of));
     let shop = named.unwrap_or(0);
     if stage == 0 {
-        world.crowd.floods[shop] *= trouble.size;
-        return Some(now + trouble.lasts);
+        world.crowd.floods[shop] *= trouble.magnitude;
+        return Some(now + trouble.duration);
     }
-    world.crowd.floods[shop] /= trouble.size;
+    world.crowd.floods[shop] /= trouble.magnitude;
     None
 }
--- a/crates/dewhead-world/src/troubles/handover.rs
+++ b/crates/dewhead-world/src/troubles/handover.rs
@@ -1,12 +1,12 @@
 //! Proxies are renewed in turn, each by a new process that takes the old one's place.
 
-use super::{choose_proxies, next_turn, turn, Kind};
+use super::{choose_proxies, next_turn, turn, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "handover",
-    about: "'part' of the proxies are renewed within 'lasts' seconds, 'at_a_time' of them, by processes that take over",
+    description: "'part' of the proxies are renewed within 'lasts' seconds, 'at_a_time' of them, by processes that take over",
     act,
 };
 
--- a/crates/dewhead-world/src/troubles/handover_stop.rs
+++ b/crates/dewhead-world/src/troubles/handover_stop.rs
@@ -1,13 +1,13 @@
 //! Proxies are handed over and told to stop a moment later, while the old process still sends its clients away: by turns
 //! the supervisor signals the successor alone, and the whole group.
 
-use super::{choose_proxies, killed_after, next_turn, turn, Kind};
+use super::{choose_proxies, killed_after, next_turn, turn, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "handover-stop",
-    about: "'part' of the proxies are handed over within 'lasts' seconds, 'at_a_time' of them, and each told to stop within 'size' \
+    description: "'part' of the proxies are handed over within 'lasts' seconds, 'at_a_time' of them, and each told to stop within 'size' \
             seconds of that",
     act,
 };
@@ -24,7 +24,7 @@
     match stage % STEPS {
         0 => {
             hit.into_iter().for_each(|proxy| world.hand_over(now, proxy));
-            Some(now + trouble.size * world.trouble_chance[n].part())
+            Some(now + trouble.magnitude * world.trouble_chance[n].uniform())
         }
         1 => {
             let signal = if number.is_multiple_of(2) { Signal::Stop } else { Signal::StopGroup };
--- a/crates/dewhead-world/src/troubles/idle_crowd.rs
+++ b/crates/dewhead-world/src/troubles/idle_crowd.rs
@@ -1,13 +1,14 @@
 //! A crowd connects to proxies and says nothing: it fills their descriptors until it is sent away.
 
 use super::bad_clients::silent;
-use super::{choose_proxies, Kind};
+use super::{choose_proxies, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "idle-crowd",
-    about: "'size' clients connect to each of 'part' of the proxies within 'lasts' seconds, and say nothing",
+    description:
+        "'size' clients connect to each of 'part' of the proxies within 'lasts' seconds, and say nothing",
     act,
 };
 
@@ -19,10 +20,10 @@
         choose_proxies(world, trouble, n);
     }
     let hit = world.hit.get(&n).cloned().unwrap_or_default();
-    let many = (trouble.size / f64::from(WAVES)).ceil() as usize;
+    let many = (trouble.magnitude / f64::from(WAVES)).ceil() as usize;
     for proxy in hit {
-        let comes = if world.proxies[proxy].up { many } else { 0 };
+        let comes = if world.proxies[proxy].listening { many } else { 0 };
         (0..comes).for_each(|_| silent(world, now, proxy));
     }
-    (stage + 1 < WAVES).then(|| now + trouble.lasts / f64::from(WAVES))
+    (stage + 1 < WAVES).then(|| now + trouble.duration / f64::from(WAVES))
 }
--- a/crates/dewhead-world/src/troubles/mod.rs
+++ b/crates/dewhead-world/src/troubles/mod.rs
@@ -27,17 +27,17 @@
 mod zone_cut;
 
 use crate::experiment::Trouble;
-use crate::world::{Due, World};
+use crate::world::{Event, World};
 
-pub struct Kind {
+pub struct TroubleKind {
     pub name: &'static str,
     /// What it is, and what `part` and `size` mean for it.
-    pub about: &'static str,
+    pub description: &'static str,
     /// (world, now, the trouble, its number, the stage) to when the next stage comes.
     act: fn(&mut World, f64, &Trouble, usize, u32) -> Option<f64>,
 }
 
-pub const KINDS: &[Kind] = &[
+pub const TROUBLE_KINDS: &[TroubleKind] = &[
     alone::KIND,
     bad_clients::KIND,
     burst::KIND,
@@ -65,21 +65,21 @@
 ];
 
 /// The kind of this name, or which there are.
-pub fn known(name: &str) -> Result<&'static Kind, String> {
-    KINDS.iter().find(|k| k.name == name).ok_or_else(|| {
-        let names: Vec<&str> = KINDS.iter().map(|k| k.name).collect();
+pub fn find_kind(name: &str) -> Result<&'static TroubleKind, String> {
+    TROUBLE_KINDS.iter().find(|k| k.name == name).ok_or_else(|| {
+        let names: Vec<&str> = TROUBLE_KINDS.iter().map(|k| k.name).collect();
         format!("no kind '{name}'; there are {}", names.join(", "))
     })
 }
 
 pub(crate) fn stage(world: &mut World, now: f64, n: usize, stage: u32) {
-    let trouble = world.of.troubles[n].clone();
-    let Ok(kind) = known(&trouble.kind) else { return };
+    let trouble = world.experiment.troubles[n].clone();
+    let Ok(kind) = find_kind(&trouble.kind) else { return };
     if stage == 0 {
-        world.service.mark(now, format!("{} begins", trouble.kind));
+        world.service.annotate(now, format!("{} begins", trouble.kind));
     }
     if let Some(at) = (kind.act)(world, now, &trouble, n, stage) {
-        world.queue.put(at.max(now), Due::Trouble(n, stage + 1));
+        world.queue.push(at.max(now), Event::Trouble(n, stage + 1));
     }
 }
 
@@ -88,7 +88,7 @@
     let many = ((part * of.len() as f64).round() as usize).clamp(1.min(of.len()), of.len());
     let chance = &mut world.trouble_chance[n];
     while of.len() > many {
-        let out = chance.place(of.len());
+        let out = chance.index(of.len());
         of.remove(out);
     }
     of
@@ -96,18 +96,20 @@
 
 /// The nodes that a trouble hits, remembered for its later stages.
 fn choose_nodes(world: &mut World, trouble: &Trouble, n: usize) -> Vec<usize> {
-    let zone = trouble.zone.as_ref().and_then(|z| world.of.fleet.zones.iter().position(|name| name == z));
+    let zone =
+        trouble.zone.as_ref().and_then(|z| world.experiment.fleet.zones.iter().position(|name| name == z));
     let of =
         (0..world.nodes.len()).filter(|node| zone.is_none_or(|z| world.nodes[*node].zone == z)).collect();
-    let hit = choose(world, n, trouble.part, of);
+    let hit = choose(world, n, trouble.fraction, of);
     world.hit.insert(n, hit.clone());
     hit
 }
 
 fn choose_proxies(world: &mut World, trouble: &Trouble, n: usize) -> Vec<usize> {
-    let zone = trouble.zone.as_ref().and_then(|z| world.of.fleet.zones.iter().position(|name| name == z));
+    let zone =
+        trouble.zone.as_ref().and_then(|z| world.experiment.fleet.zones.iter().position(|name| name == z));
     let of = (0..world.proxies.len()).filter(|p| zone.is_none_or(|z| world.proxies[*p].zone == z)).collect();
-    let hit = choose(world, n, trouble.part, of);
+    let hit = choose(world, n, trouble.fraction, of);
     world.hit.insert(n, hit.clone());
     hit
 }
@@ -125,7 +127,7 @@
 
 /// How long after SIGTERM the kill comes, in seconds: at the earliest moment that is allowed.
 pub(crate) fn killed_after(world: &World) -> f64 {
-    let guard = world.of.traffic.iter().map(|t| t.guard_time).fold(0.0, f64::max);
+    let guard = world.experiment.traffic.iter().map(|t| t.guard_time).fold(0.0, f64::max);
     guard.min(WAITED_FOR) + KILLED_AFTER
 }
 
@@ -133,5 +135,5 @@
 fn next_turn(world: &World, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     let turns = world.hit.get(&n).map_or(0, |all| all.len().div_ceil(trouble.at_a_time));
     let next = stage as usize + 1;
-    (next < turns).then(|| trouble.at + trouble.lasts * next as f64 / turns as f64)
+    (next < turns).then(|| trouble.at + trouble.duration * next as f64 / turns as f64)
 }
--- a/crates/dewhead-world/src/troubles/neighbour.rs
+++ b/crates/dewhead-world/src/troubles/neighbour.rs
@@ -1,23 +1,26 @@
 //! Another service on the same machines takes part of them; nobody is told.
 
-use super::{choose_nodes, Kind};
+use super::{choose_nodes, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind =
-    Kind { name: "neighbour", about: "'part' of the nodes are 'size' times as slow as they were", act };
+pub const KIND: TroubleKind = TroubleKind {
+    name: "neighbour",
+    description: "'part' of the nodes are 'size' times as slow as they were",
+    act,
+};
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
         for node in choose_nodes(world, trouble, n) {
             world.nodes[node].advance(now);
-            world.nodes[node].neighbour = 1.0 - 1.0 / trouble.size.max(1.0);
+            world.nodes[node].neighbour_share = 1.0 - 1.0 / trouble.magnitude.max(1.0);
         }
-        return Some(now + trouble.lasts);
+        return Some(now + trouble.duration);
     }
     for node in world.hit.remove(&n).unwrap_or_default() {
         world.nodes[node].advance(now);
-        world.nodes[node].neighbour = 0.0;
+        world.nodes[node].neighbour_share = 0.0;
     }
     None
 }
--- a/crates/dewhead-world/src/troubles/node_restart.rs
+++ b/crates/dewhead-world/src/troubles/node_restart.rs
@@ -1,12 +1,12 @@
 //! Node processes die, and start again cold.
 
-use super::{choose_nodes, Kind};
+use super::{choose_nodes, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "node-restart",
-    about: "'part' of the nodes die and start again, cold, after 'lasts' seconds",
+    description: "'part' of the nodes die and start again, cold, after 'lasts' seconds",
     act,
 };
 
@@ -15,7 +15,7 @@
         for node in choose_nodes(world, trouble, n) {
             world.kill_node(now, node);
         }
-        return Some(now + trouble.lasts);
+        return Some(now + trouble.duration);
     }
     for node in world.hit.remove(&n).unwrap_or_default() {
         world.start_node(now, node);
--- a/crates/dewhead-world/src/troubles/reconfigure.rs
+++ b/crates/dewhead-world/src/troubles/reconfigure.rs
@@ -1,12 +1,12 @@
 //! Proxies' configurations are replaced under load: discovery is at another address, and the old one closes.
 
-use super::{choose_proxies, next_turn, turn, Kind};
+use super::{choose_proxies, next_turn, turn, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "reconfigure",
-    about:
+    description:
         "'part' of the proxies get SIGHUP within 'lasts' seconds, 'at_a_time' of them, and discovery moves",
     act,
 };
--- a/crates/dewhead-world/src/troubles/reconnect.rs
+++ b/crates/dewhead-world/src/troubles/reconnect.rs
@@ -1,12 +1,12 @@
 //! A part of the clients loses its connections at once and comes again: a mobile network's hiccup.
 
-use super::Kind;
+use super::TroubleKind;
 use crate::experiment::Trouble;
-use crate::world::{How, World};
+use crate::world::{EndKind, World};
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "reconnect",
-    about: "'part' of the standing clients drop within 'lasts' seconds and come again",
+    description: "'part' of the standing clients drop within 'lasts' seconds and come again",
     act,
 };
 
@@ -15,9 +15,9 @@
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     for client in world.standing_clients() {
-        if world.trouble_chance[n].happens(trouble.part / f64::from(WAVES)) {
-            world.drop_client(now, client, How::Closed);
+        if world.trouble_chance[n].bernoulli(trouble.fraction / f64::from(WAVES)) {
+            world.drop_client(now, client, EndKind::Closed);
         }
     }
-    (stage + 1 < WAVES).then(|| now + trouble.lasts / f64::from(WAVES))
+    (stage + 1 < WAVES).then(|| now + trouble.duration / f64::from(WAVES))
 }
--- a/crates/dewhead-world/src/troubles/resets.rs
+++ b/crates/dewhead-world/src/troubles/resets.rs
@@ -1,12 +1,12 @@
 //! Connections are reset here and there, on both sides of the proxies: between proxies and nodes, and by clients.
 
-use super::Kind;
+use super::TroubleKind;
 use crate::experiment::Trouble;
-use crate::world::{ConnectionKey, How, World};
+use crate::world::{ConnectionKey, EndKind, World};
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "resets",
-    about: "'part' of the connections to nodes, and of the clients', are reset within 'lasts' seconds",
+    description: "'part' of the connections to nodes, and of the clients', are reset within 'lasts' seconds",
     act,
 };
 
@@ -14,17 +14,17 @@
 const WAVES: u32 = 20;
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
-    let part = trouble.part / f64::from(WAVES);
+    let part = trouble.fraction / f64::from(WAVES);
     let connections: Vec<ConnectionKey> = world.connections.keys().collect();
     for connection in connections {
-        if world.trouble_chance[n].happens(part) {
-            world.drop_connection(now, connection, How::Broken);
+        if world.trouble_chance[n].bernoulli(part) {
+            world.drop_connection(now, connection, EndKind::Broken);
         }
     }
     for client in world.standing_clients() {
-        if world.trouble_chance[n].happens(part) {
-            world.drop_client(now, client, How::Broken);
+        if world.trouble_chance[n].bernoulli(part) {
+            world.drop_client(now, client, EndKind::Broken);
         }
     }
-    (stage + 1 < WAVES).then(|| now + trouble.lasts / f64::from(WAVES))
+    (stage + 1 < WAVES).then(|| now + trouble.duration / f64::from(WAVES))
 }
--- a/crates/dewhead-world/src/troubles/restart_kill.rs
+++ b/crates/dewhead-world/src/troubles/restart_kill.rs
@@ -1,12 +1,12 @@
 //! Proxies are killed outright, in turn, and start again from nothing but the list that they last had.
 
-use super::{choose_proxies, next_turn, turn, Kind};
+use super::{choose_proxies, next_turn, turn, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "restart-kill",
-    about: "'part' of the proxies are killed within 'lasts' seconds, 'at_a_time' of them, and start again at once",
+    description: "'part' of the proxies are killed within 'lasts' seconds, 'at_a_time' of them, and start again at once",
     act,
 };
 
--- a/crates/dewhead-world/src/troubles/restart_stop.rs
+++ b/crates/dewhead-world/src/troubles/restart_stop.rs
@@ -1,12 +1,13 @@
 //! Proxies are restarted in turn with SIGTERM, and killed where they do not end by themselves.
 
-use super::{choose_proxies, killed_after, next_turn, turn, Kind};
+use super::{choose_proxies, killed_after, next_turn, turn, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "restart-stop",
-    about: "'part' of the proxies are restarted within 'lasts' seconds, 'at_a_time' of them, with SIGTERM",
+    description:
+        "'part' of the proxies are restarted within 'lasts' seconds, 'at_a_time' of them, with SIGTERM",
     act,
 };
 
--- a/crates/dewhead-world/src/troubles/signal_series.rs
+++ b/crates/dewhead-world/src/troubles/signal_series.rs
@@ -1,13 +1,13 @@
 //! Proxies get signals in series: SIGHUP again and again, then SIGTERM, SIGHUP and SIGTERM once more. The kill comes as
 //! early after the first SIGTERM as is allowed.
 
-use super::{choose_proxies, killed_after, next_turn, turn, Kind};
+use super::{choose_proxies, killed_after, next_turn, turn, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "signal-series",
-    about: "'part' of the proxies get 'size' times SIGHUP, then SIGTERM, SIGHUP and SIGTERM, within 'lasts' seconds, 'at_a_time' of them",
+    description: "'part' of the proxies get 'size' times SIGHUP, then SIGTERM, SIGHUP and SIGTERM, within 'lasts' seconds, 'at_a_time' of them",
     act,
 };
 
@@ -19,7 +19,7 @@
     if stage == 0 {
         choose_proxies(world, trouble, n);
     }
-    let reloads = trouble.size.round().max(1.0) as u32;
+    let reloads = trouble.magnitude.round().max(1.0) as u32;
     let signals = reloads + ENDING.len() as u32;
     let number = stage / (signals + 1);
     let hit = turn(world, trouble, n, number);
@@ -34,9 +34,11 @@
     let signal = step.checked_sub(reloads).map_or(Signal::Reload, |at| ENDING[at as usize]);
     hit.iter().for_each(|proxy| world.signal(now, *proxy, signal));
     if step + 1 < signals {
-        return Some(now + LONGEST_GAP * world.trouble_chance[n].part());
+        return Some(now + LONGEST_GAP * world.trouble_chance[n].uniform());
     }
-    let first =
-        hit.iter().filter_map(|proxy| world.proxies[*proxy].stopped_at).fold(f64::NEG_INFINITY, f64::max);
+    let first = hit
+        .iter()
+        .filter_map(|proxy| world.proxies[*proxy].stop_requested_at)
+        .fold(f64::NEG_INFINITY, f64::max);
     Some(first.max(now - killed_after(world)) + killed_after(world))
 }
--- a/crates/dewhead-world/src/troubles/zone_cut.rs
+++ b/crates/dewhead-world/src/troubles/zone_cut.rs
@@ -1,17 +1,17 @@
 //! Zones hear nothing of each other: what is open between them stays open and silent, and nothing new comes up.
 
-use super::Kind;
+use super::TroubleKind;
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: Kind = Kind {
+pub const KIND: TroubleKind = TroubleKind {
     name: "zone-cut",
-    about: "the zone 'zone' (the last if not told) is cut off from all others for 'lasts' seconds",
+    description: "the zone 'zone' (the last if not told) is cut off from all others for 'lasts' seconds",
     act,
 };
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
-    let zones = &world.of.fleet.zones;
+    let zones = &world.experiment.fleet.zones;
     let cut = trouble
         .zone
         .as_ref()
@@ -22,11 +22,11 @@
         if stage == 0 {
             world.network.cut(cut, other);
         } else {
-            world.network.mend(cut, other);
+            world.network.restore(cut, other);
         }
     }
     if stage == 0 {
-        return Some(now + trouble.lasts);
+        return Some(now + trouble.duration);
     }
     world.release_held(now);
     None
