--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -3,16 +3,16 @@
 //! `discovery` and `front`.
 
 use crate::audit::Auditor;
-use crate::chance::{Chance, Of};
 use crate::clients::{Client, Clients};
 use crate::discovery::Discovery;
 use crate::experiment::Experiment;
 use crate::front::Front;
 use crate::network::Network;
-use crate::nodes::{Node, State};
-use crate::queue::Queue;
-use crate::service::{Outcome, Service};
-use crate::serving::Connection;
+use crate::node_connections::Connection;
+use crate::nodes::{Node, NodeState};
+use crate::queue::EventQueue;
+use crate::random::{RandomStream, StreamPurpose};
+use crate::service::{Outcome, ServiceMetrics};
 use serde_json::Value;
 use slotmap::{new_key_type, SlotMap};
 use smallvec::SmallVec;
@@ -30,7 +30,7 @@
 
 /// How one side of a link ends.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum How {
+pub enum EndKind {
     /// No more is sent; what comes is still read.
     Finished,
     Closed,
@@ -63,22 +63,22 @@
     /// Somebody connects to this proxy.
     Connect(LinkKey, usize),
     /// A link that the proxy dialled has come up, or is refused.
-    Up(LinkKey),
+    Established(LinkKey),
     Refused(LinkKey),
     Bytes(LinkKey, Bytes),
-    End(LinkKey, How),
+    End(LinkKey, EndKind),
     /// Start this proxy's process; it knows the list as it last had it.
     Start(usize, Value),
     Signal(usize, Signal),
     /// A new process takes this proxy's place, and the old one's clients leave over so many seconds.
     Handover(usize, f64),
     /// Its configuration names another address of discovery, the so-many-th, and it gets SIGHUP.
-    Renew(usize, usize),
+    Reconfigure(usize, usize),
 }
 
 /// Who is at the far end of a link.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) enum Far {
+pub(crate) enum Peer {
     Client(ClientKey),
     /// A client that is none, in `troubles::bad_clients`.
     Bad(usize),
@@ -91,16 +91,16 @@
 
 /// What travels.
 #[derive(Debug)]
-pub(crate) enum Parcel {
+pub(crate) enum Message {
     Open,
     Answer(bool),
     Bytes(Bytes),
-    End(How),
+    End(EndKind),
 }
 
 pub(crate) struct Link {
     pub proxy: usize,
-    pub far: Far,
+    pub far: Peer,
     pub latency: f64,
     /// When the last thing sent arrives, by direction, so that nothing overtakes.
     toward: f64,
@@ -122,27 +122,27 @@
 /// A proxy as the world sees it: a process that runs or not.
 pub struct Proxy {
     pub zone: usize,
-    pub up: bool,
+    pub listening: bool,
     /// Processes started so far.
-    pub starts: u64,
+    pub start_count: u64,
     /// When it was told to stop, while its processes have not started anew.
-    pub stopped_at: Option<f64>,
+    pub stop_requested_at: Option<f64>,
     pub connections: u32,
 }
 
 impl Proxy {
     /// Whether it has been told to stop, and has not started anew.
     pub fn is_stopping(&self) -> bool {
-        self.stopped_at.is_some()
+        self.stop_requested_at.is_some()
     }
 }
 
-pub(crate) enum Due {
+pub(crate) enum Event {
     Arrival,
     Client(ClientKey, u32),
     Linger(LinkKey),
-    Toward(LinkKey, Parcel),
-    From(LinkKey, Parcel),
+    Toward(LinkKey, Message),
+    From(LinkKey, Message),
     /// A set-up at this node may be done; the number tells a newer guess from an older.
     SetUp(usize, u32),
     LoadChange(ConnectionKey),
@@ -163,18 +163,18 @@
 /// Nodes move on, and are looked at, this often.
 const LOOK: f64 = 0.1;
 /// Measuring begins once what stood before the start has been put back.
-pub const SETTLED: f64 = 6.0;
+pub const SETTLING_TIME: f64 = 6.0;
 
 pub struct World {
-    pub of: Experiment,
+    pub experiment: Experiment,
     pub seed: u64,
-    pub(crate) queue: Queue<Due>,
+    pub(crate) queue: EventQueue<Event>,
     pub(crate) links: SlotMap<LinkKey, Link>,
     pub nodes: Vec<Node<ConnectionKey>>,
     pub(crate) node_names: Vec<String>,
     /// The number of the latest guess at the next set-up's end.
     pub(crate) guesses: Vec<u32>,
-    pub(crate) node_chance: Chance,
+    pub(crate) node_chance: RandomStream,
     pub(crate) connections: SlotMap<ConnectionKey, Connection>,
     pub(crate) clients: SlotMap<ClientKey, Client>,
     pub(crate) crowd: Clients,
@@ -185,10 +185,10 @@
     pub(crate) discovery: Discovery,
     pub(crate) network: Network,
     /// What could not cross a cut, in order; it leaves when a cut ends.
-    held: Vec<(LinkKey, bool, Parcel)>,
-    pub service: Service,
+    held: Vec<(LinkKey, bool, Message)>,
+    pub service: ServiceMetrics,
     pub audit: Auditor,
-    pub(crate) trouble_chance: Vec<Chance>,
+    pub(crate) trouble_chance: Vec<RandomStream>,
     /// What troubles keep for themselves between their stages.
     pub(crate) hit: BTreeMap<usize, Vec<usize>>,
     pub(crate) bad: crate::troubles::bad_clients::Crowd,
@@ -200,7 +200,7 @@
 impl World {
     pub fn new(of: &Experiment, seed: u64) -> World {
         let zones = of.fleet.zones.len();
-        let mut fleet = Chance::of(seed, Of::Fleet, 0);
+        let mut fleet = RandomStream::new(seed, StreamPurpose::Fleet, 0);
         let kinds = of.traffic.len();
         let total: f64 = of.machines.iter().map(|m| m.share).sum();
         let nodes: Vec<Node<ConnectionKey>> = (0..of.fleet.nodes)
@@ -212,73 +212,86 @@
                     place < 0.0
                 });
                 let machine = machine.unwrap_or(&of.machines[0]);
-                let cell = (n / zones / of.fleet.cell * zones + n % zones) as u64;
+                let cell = (n / zones / of.fleet.cell_size * zones + n % zones) as u64;
                 Node::new(machine, &of.node, n % zones, cell, kinds, &mut fleet)
             })
             .collect();
         let node_names: Vec<String> =
-            (0..nodes.len()).map(|_| format!("n-{:08x}", fleet.bits() as u32)).collect();
+            (0..nodes.len()).map(|_| format!("n-{:08x}", fleet.next_u64() as u32)).collect();
         let proxies: Vec<Proxy> = (0..of.fleet.proxies)
-            .map(|p| Proxy { zone: p % zones, up: false, starts: 0, stopped_at: None, connections: 0 })
+            .map(|p| Proxy {
+                zone: p % zones,
+                listening: false,
+                start_count: 0,
+                stop_requested_at: None,
+                connections: 0,
+            })
             .collect();
-        let service = Service::new(kinds, nodes.len(), proxies.len());
+        let service = ServiceMetrics::new(kinds, nodes.len(), proxies.len());
         let audit = Auditor::new(of, seed, &nodes, &node_names);
-        let discovery =
-            Discovery::new(of, &nodes, &node_names, proxies.len(), Chance::of(seed, Of::Discovery, 0));
+        let discovery = Discovery::new(
+            of,
+            &nodes,
+            &node_names,
+            proxies.len(),
+            RandomStream::new(seed, StreamPurpose::Discovery, 0),
+        );
         let mut world = World {
             seed,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             links: SlotMap::with_key(),
             guesses: vec![0; nodes.len()],
             nodes,
             node_names,
-            node_chance: Chance::of(seed, Of::Node, 0),
+            node_chance: RandomStream::new(seed, StreamPurpose::Node, 0),
             connections: SlotMap::with_key(),
             clients: SlotMap::with_key(),
             crowd: Clients::new(of, seed),
             calls: BTreeMap::new(),
-            front: Front::new(&proxies, zones, Chance::of(seed, Of::Front, 0)),
+            front: Front::new(&proxies, zones, RandomStream::new(seed, StreamPurpose::Front, 0)),
             proxies,
             discovery,
-            network: Network::new(&of.network, Chance::of(seed, Of::Network, 0)),
+            network: Network::new(&of.network, RandomStream::new(seed, StreamPurpose::Network, 0)),
             held: Vec::new(),
             service,
             audit,
-            trouble_chance: (0..of.troubles.len()).map(|n| Chance::of(seed, Of::Trouble, n as u64)).collect(),
+            trouble_chance: (0..of.troubles.len())
+                .map(|n| RandomStream::new(seed, StreamPurpose::Trouble, n as u64))
+                .collect(),
             hit: BTreeMap::new(),
             bad: Default::default(),
             effects: Vec::new(),
             digest: crc32fast::Hasher::new(),
             next_look: 0.0,
-            of: of.clone(),
+            experiment: of.clone(),
         };
         for proxy in 0..world.proxies.len() {
             world.start_proxy(0.0, proxy);
         }
-        world.queue.put(0.0, Due::Look);
+        world.queue.push(0.0, Event::Look);
         world.people(0.5);
-        for (n, trouble) in world.of.troubles.iter().enumerate() {
-            world.queue.put(trouble.at, Due::Trouble(n, 0));
+        for (n, trouble) in world.experiment.troubles.iter().enumerate() {
+            world.queue.push(trouble.at, Event::Trouble(n, 0));
         }
         world
     }
 
     /// When something happens next.
-    pub fn next_due(&self) -> Option<f64> {
-        self.queue.next()
+    pub fn next_event_time(&self) -> Option<f64> {
+        self.queue.next_time()
     }
 
     /// Lets what is due by now happen, one thing at a time; false once nothing more is due. The effects are to be
     /// carried out after each.
     pub fn step(&mut self, now: f64) -> bool {
-        let Some((at, due)) = self.queue.due(now) else { return false };
+        let Some((at, due)) = self.queue.pop_due(now) else { return false };
         // A host on sockets comes late; what happens then happens at its time, but for what is counted by the clock.
         self.happen(at, due);
         true
     }
 
     /// What is to be carried out, in order; `into` is emptied first, so that one buffer serves a whole run.
-    pub fn effects(&mut self, into: &mut Vec<Effect>) {
+    pub fn take_effects(&mut self, into: &mut Vec<Effect>) {
         into.clear();
         std::mem::swap(into, &mut self.effects);
     }
@@ -287,59 +300,62 @@
         self.effects.push(effect);
     }
 
-    fn happen(&mut self, now: f64, due: Due) {
+    fn happen(&mut self, now: f64, due: Event) {
         match due {
-            Due::Arrival => self.arrival(now),
-            Due::Client(key, number) => self.client_due(now, key, number),
-            Due::Linger(link) => self.linger_on(now, link),
-            Due::Toward(key, parcel) => self.proxy_arrives(now, key, parcel),
-            Due::From(key, parcel) => self.far_arrives(now, key, parcel),
-            Due::SetUp(node, guess) => self.set_up_due(now, node, guess),
-            Due::LoadChange(key) => self.load_changes(now, key),
-            Due::SendAway(key) => self.send_away(now, key),
-            Due::Unwant(kind, worth) => self.service.want(now, kind, -worth),
-            Due::Listed(change) => self.listed(now, change),
-            Due::Agent(agent, version) => self.agent_hears(now, agent, version),
-            Due::Beat(agent, link) => self.beat(now, agent, link),
-            Due::AgentCloses(agent, link) => self.agent_closes(now, agent, link),
-            Due::StartProxy(proxy) => self.ask_start(now, proxy),
-            Due::FrontPing(proxy) => self.front_pings(now, proxy),
-            Due::FrontDrops(proxy, start) => self.front_drops(proxy, start),
-            Due::Trouble(n, stage) => crate::troubles::stage(self, now, n, stage),
-            Due::Look => self.look(now),
+            Event::Arrival => self.arrival(now),
+            Event::Client(key, number) => self.client_due(now, key, number),
+            Event::Linger(link) => self.linger_on(now, link),
+            Event::Toward(key, parcel) => self.proxy_arrives(now, key, parcel),
+            Event::From(key, parcel) => self.far_arrives(now, key, parcel),
+            Event::SetUp(node, guess) => self.set_up_due(now, node, guess),
+            Event::LoadChange(key) => self.load_changes(now, key),
+            Event::SendAway(key) => self.send_away(now, key),
+            Event::Unwant(kind, worth) => self.service.change_demand(now, kind, -worth),
+            Event::Listed(change) => self.listed(now, change),
+            Event::Agent(agent, version) => self.agent_hears(now, agent, version),
+            Event::Beat(agent, link) => self.beat(now, agent, link),
+            Event::AgentCloses(agent, link) => self.agent_closes(now, agent, link),
+            Event::StartProxy(proxy) => self.ask_start(now, proxy),
+            Event::FrontPing(proxy) => self.front_pings(now, proxy),
+            Event::FrontDrops(proxy, start) => self.front_drops(proxy, start),
+            Event::Trouble(n, stage) => crate::troubles::stage(self, now, n, stage),
+            Event::Look => self.look(now),
         }
     }
 
     /// A regular look at all nodes: their work moves on, and who falls over, sheds or is served well is seen.
     fn look(&mut self, now: f64) {
-        self.queue.put(now + LOOK, Due::Look);
+        self.queue.push(now + LOOK, Event::Look);
         let second = now >= self.next_look;
-        let mut rates = vec![0.0; self.of.traffic.len()];
+        let mut rates = vec![0.0; self.experiment.traffic.len()];
         for n in 0..self.nodes.len() {
             self.nodes[n].advance(now);
-            if matches!(self.nodes[n].state, State::Up | State::Draining) {
+            if matches!(self.nodes[n].state, NodeState::Up | NodeState::Draining) {
                 self.guess_set_up(now, n);
-                if self.nodes[n].falls(now, &self.of.rules) {
+                if self.nodes[n].check_cold_overload(now, &self.experiment.rules) {
                     self.fall_over(now, n);
                 }
                 self.shed(now, n);
             }
             let node = &self.nodes[n];
-            if node.state != State::Silent {
-                let delay = node.delay(now);
-                for (kind, worth) in node.worth().iter().enumerate() {
-                    if delay <= self.of.traffic[kind].message_target {
+            if node.state != NodeState::Silent {
+                let delay = node.queueing_delay(now);
+                for (kind, worth) in node.served_revenue().iter().enumerate() {
+                    if delay <= self.experiment.traffic[kind].message_target {
                         rates[kind] += worth;
                     }
                 }
             }
             if second {
-                let able =
-                    if matches!(node.state, State::Dead | State::Silent) { 0.0 } else { node.capacity(now) };
-                self.service.nodes[n].push((node.load() as f32, able as f32, node.held as u32));
+                let able = if matches!(node.state, NodeState::Dead | NodeState::Silent) {
+                    0.0
+                } else {
+                    node.capacity(now)
+                };
+                self.service.nodes[n].push((node.load() as f32, able as f32, node.connections as u32));
             }
         }
-        self.service.serve(now, &rates);
+        self.service.set_served_rates(now, &rates);
         if second {
             self.next_look = now.floor() + 1.0;
             for (p, proxy) in self.proxies.iter().enumerate() {
@@ -350,7 +366,7 @@
     }
 
     /// Makes a link between a proxy and something of the world.
-    pub(crate) fn link(&mut self, proxy: usize, far: Far, latency: f64) -> LinkKey {
+    pub(crate) fn link(&mut self, proxy: usize, far: Peer, latency: f64) -> LinkKey {
         self.links.insert(Link {
             proxy,
             far,
@@ -366,8 +382,8 @@
     /// Whether a link's two ends hear nothing of each other, and whether what is sent is lost for good.
     fn blocked(&self, link: &Link) -> Option<bool> {
         match link.far {
-            Far::Node(node, _) if self.nodes[node].state == State::Silent => Some(true),
-            Far::Node(node, _)
+            Peer::Node(node, _) if self.nodes[node].state == NodeState::Silent => Some(true),
+            Peer::Node(node, _)
                 if self.network.is_cut(self.proxies[link.proxy].zone, self.nodes[node].zone) =>
             {
                 Some(false)
@@ -377,37 +393,37 @@
     }
 
     /// Sends something on a link: toward the proxy, or from it.
-    pub(crate) fn post(&mut self, now: f64, key: LinkKey, toward: bool, parcel: Parcel) {
+    pub(crate) fn post(&mut self, now: f64, key: LinkKey, toward: bool, parcel: Message) {
         let Some(link) = self.links.get(key) else { return };
         match self.blocked(link) {
             Some(true) => return,
             Some(false) => {
                 // A connect that is not answered is not made later either.
-                if !matches!(parcel, Parcel::Open | Parcel::Answer(_)) {
+                if !matches!(parcel, Message::Open | Message::Answer(_)) {
                     self.held.push((key, toward, parcel));
                 }
                 return;
             }
             None => {}
         }
-        let takes = self.network.takes(link.latency);
-        if let Parcel::Bytes(bytes) = &parcel {
-            if let Some(at) = self.network.cut_at(bytes.len()) {
+        let takes = self.network.transit_time(link.latency);
+        if let Message::Bytes(bytes) = &parcel {
+            if let Some(at) = self.network.split_point(bytes.len()) {
                 let (first, rest) = (Bytes::from_slice(&bytes[..at]), Bytes::from_slice(&bytes[at..]));
-                let late = self.network.takes(link.latency);
-                self.put_parcel(now, key, toward, takes, Parcel::Bytes(first));
-                return self.put_parcel(now, key, toward, takes + late, Parcel::Bytes(rest));
+                let late = self.network.transit_time(link.latency);
+                self.put_parcel(now, key, toward, takes, Message::Bytes(first));
+                return self.put_parcel(now, key, toward, takes + late, Message::Bytes(rest));
             }
         }
         self.put_parcel(now, key, toward, takes, parcel);
     }
 
-    fn put_parcel(&mut self, now: f64, key: LinkKey, toward: bool, takes: f64, parcel: Parcel) {
+    fn put_parcel(&mut self, now: f64, key: LinkKey, toward: bool, takes: f64, parcel: Message) {
         let Some(link) = self.links.get_mut(key) else { return };
         let last = if toward { &mut link.toward } else { &mut link.from };
         let at = (now + takes).max(*last);
         *last = at;
-        self.queue.put(at, if toward { Due::Toward(key, parcel) } else { Due::From(key, parcel) });
+        self.queue.push(at, if toward { Event::Toward(key, parcel) } else { Event::From(key, parcel) });
     }
 
     /// A cut has ended: what waited crosses, in its order.
@@ -418,14 +434,14 @@
     }
 
     pub(crate) fn say(&mut self, now: f64, key: LinkKey, text: &[u8]) {
-        self.post(now, key, true, Parcel::Bytes(Bytes::from_slice(text)));
+        self.post(now, key, true, Message::Bytes(Bytes::from_slice(text)));
     }
 
     /// The far side has nothing more to do with the link.
-    pub(crate) fn leave(&mut self, now: f64, key: LinkKey, how: How) {
+    pub(crate) fn leave(&mut self, now: f64, key: LinkKey, how: EndKind) {
         if let Some(link) = self.links.get_mut(key) {
             if !std::mem::replace(&mut link.far_gone, true) {
-                self.post(now, key, true, Parcel::End(how));
+                self.post(now, key, true, Message::End(how));
             }
             self.tidy(key);
         }
@@ -448,33 +464,33 @@
         self.digest.clone().finalize()
     }
 
-    fn proxy_arrives(&mut self, now: f64, key: LinkKey, parcel: Parcel) {
+    fn proxy_arrives(&mut self, now: f64, key: LinkKey, parcel: Message) {
         let Some(link) = self.links.get_mut(key) else { return };
         let (proxy, far) = (link.proxy, link.far);
         if link.proxy_gone {
             return;
         }
         match parcel {
-            Parcel::Open => {
-                if !self.proxies[proxy].up {
+            Message::Open => {
+                if !self.proxies[proxy].listening {
                     // Nobody listens there.
                     link.proxy_gone = true;
-                    return self.post(now, key, false, Parcel::Answer(false));
+                    return self.post(now, key, false, Message::Answer(false));
                 }
                 link.shown = true;
                 self.note(now, 1, proxy, &[]);
                 self.audit.connected(now, key, proxy, far);
                 self.effects.push(Effect::Connect(key, proxy));
             }
-            Parcel::Answer(up) => {
+            Message::Answer(up) => {
                 self.note(now, 2, proxy, &[up as u8]);
                 if !up {
                     self.links.remove(key);
                     self.audit.refused(now, key);
                 }
-                self.effects.push(if up { Effect::Up(key) } else { Effect::Refused(key) });
+                self.effects.push(if up { Effect::Established(key) } else { Effect::Refused(key) });
             }
-            Parcel::Bytes(bytes) => {
+            Message::Bytes(bytes) => {
                 if !link.shown {
                     return;
                 }
@@ -482,7 +498,7 @@
                 self.audit.toward(now, key, proxy, &bytes);
                 self.effects.push(Effect::Bytes(key, bytes));
             }
-            Parcel::End(how) => {
+            Message::End(how) => {
                 if !link.shown {
                     return;
                 }
@@ -493,96 +509,96 @@
         }
     }
 
-    fn far_arrives(&mut self, now: f64, key: LinkKey, parcel: Parcel) {
+    fn far_arrives(&mut self, now: f64, key: LinkKey, parcel: Message) {
         let Some(link) = self.links.get(key) else { return };
         if link.far_gone {
             return;
         }
         match link.far {
-            Far::Client(client) => self.client_gets(now, client, key, parcel),
-            Far::Bad(n) => crate::troubles::bad_clients::gets(self, now, n, key, parcel),
+            Peer::Client(client) => self.client_gets(now, client, key, parcel),
+            Peer::Bad(n) => crate::troubles::bad_clients::gets(self, now, n, key, parcel),
             // It goes once nobody is there to write to.
-            Far::Lingering if matches!(parcel, Parcel::End(How::Closed | How::Broken)) => {
-                self.leave(now, key, How::Closed);
+            Peer::Lingering if matches!(parcel, Message::End(EndKind::Closed | EndKind::Broken)) => {
+                self.leave(now, key, EndKind::Closed);
             }
-            Far::Lingering => {}
-            Far::Front => self.front_gets(now, key, parcel),
-            Far::Node(node, at) => self.node_gets(now, node, at, key, parcel),
-            Far::Agent(agent) => self.agent_gets(now, agent, key, parcel),
+            Peer::Lingering => {}
+            Peer::Front => self.front_gets(now, key, parcel),
+            Peer::Node(node, at) => self.node_gets(now, node, at, key, parcel),
+            Peer::Agent(agent) => self.agent_gets(now, agent, key, parcel),
         }
     }
 
     // What hosts tell.
 
     /// A proxy begins to connect.
-    pub fn dialled(&mut self, now: f64, proxy: usize, to: Target) -> LinkKey {
+    pub fn on_dial(&mut self, now: f64, proxy: usize, to: Target) -> LinkKey {
         let (far, latency) = match to {
             Target::Node(node) => {
-                let latency = self.network.between(self.proxies[proxy].zone, self.nodes[node].zone);
-                (Far::Node(node, None), latency)
+                let latency = self.network.latency_between(self.proxies[proxy].zone, self.nodes[node].zone);
+                (Peer::Node(node, None), latency)
             }
-            Target::Agent(address) => (Far::Agent(address), 1e-5),
+            Target::Agent(address) => (Peer::Agent(address), 1e-5),
         };
         let key = self.link(proxy, far, latency);
         self.links[key].shown = true;
         self.note(now, 5, proxy, &[]);
-        if let Far::Node(node, _) = far {
+        if let Peer::Node(node, _) = far {
             self.audit.dialled(now, key, proxy, node);
         }
-        self.post(now, key, false, Parcel::Open);
+        self.post(now, key, false, Message::Open);
         key
     }
 
     /// A proxy has written these bytes.
-    pub fn said(&mut self, now: f64, key: LinkKey, bytes: &[u8]) {
+    pub fn on_bytes(&mut self, now: f64, key: LinkKey, bytes: &[u8]) {
         let Some(link) = self.links.get(key) else { return };
         let proxy = link.proxy;
         self.note(now, 6, proxy, bytes);
         self.audit.said(now, key, proxy, bytes);
-        self.post(now, key, false, Parcel::Bytes(Bytes::from_slice(bytes)));
+        self.post(now, key, false, Message::Bytes(Bytes::from_slice(bytes)));
     }
 
     /// A proxy has ended its side.
-    pub fn ended(&mut self, now: f64, key: LinkKey, how: How) {
+    pub fn on_end(&mut self, now: f64, key: LinkKey, how: EndKind) {
         let Some(link) = self.links.get_mut(key) else { return };
         let proxy = link.proxy;
-        if how != How::Finished {
+        if how != EndKind::Finished {
             link.proxy_gone = true;
         }
         self.note(now, 7, proxy, &[how as u8]);
         self.audit.proxy_ended(now, key, how);
         // A machine that has vanished never hears of it; what it holds it gives back when it starts anew.
-        if let Far::Node(node, None) = self.links[key].far {
-            self.links[key].far_gone |= self.nodes[node].state == State::Silent;
+        if let Peer::Node(node, None) = self.links[key].far {
+            self.links[key].far_gone |= self.nodes[node].state == NodeState::Silent;
         }
-        self.post(now, key, false, Parcel::End(how));
+        self.post(now, key, false, Message::End(how));
         self.tidy(key);
     }
 
     /// A proxy's process listens.
-    pub fn ready(&mut self, now: f64, proxy: usize) {
+    pub fn on_listening(&mut self, now: f64, proxy: usize) {
         self.note(now, 8, proxy, &[]);
-        self.proxies[proxy].up = true;
-        self.proxies[proxy].stopped_at = None;
+        self.proxies[proxy].listening = true;
+        self.proxies[proxy].stop_requested_at = None;
         self.audit.proxy_up(now, proxy);
-        self.service.mark(now, format!("proxy {proxy} listens"));
+        self.service.annotate(now, format!("proxy {proxy} listens"));
         self.front_pings(now, proxy);
     }
 
     /// The process that serves is gone; one that retires still holds connections.
-    pub fn stops_listening(&mut self, now: f64, proxy: usize) {
+    pub fn on_listener_closed(&mut self, now: f64, proxy: usize) {
         self.note(now, 10, proxy, &[]);
-        self.proxies[proxy].up = false;
-        self.service.mark(now, format!("proxy {proxy} listens no more"));
+        self.proxies[proxy].listening = false;
+        self.service.annotate(now, format!("proxy {proxy} listens no more"));
         self.front_loses(now, proxy);
     }
 
     /// All of a proxy's processes are gone, by themselves or not; what they held is reset.
-    pub fn gone(&mut self, now: f64, proxy: usize) {
+    pub fn on_exit(&mut self, now: f64, proxy: usize) {
         self.note(now, 9, proxy, &[]);
-        let listened = std::mem::replace(&mut self.proxies[proxy].up, false);
+        let listened = std::mem::replace(&mut self.proxies[proxy].listening, false);
         self.audit.proxy_down(now, proxy);
-        self.service.mark(now, format!("proxy {proxy} is gone"));
+        self.service.annotate(now, format!("proxy {proxy} is gone"));
         let lost: Vec<LinkKey> = self
             .links
             .iter()
@@ -591,7 +607,7 @@
             .collect();
         for key in lost {
             self.links[key].proxy_gone = true;
-            self.post(now, key, false, Parcel::End(How::Broken));
+            self.post(now, key, false, Message::End(EndKind::Broken));
             self.tidy(key);
         }
         if listened {
@@ -600,18 +616,22 @@
     }
 
     pub(crate) fn start_proxy(&mut self, now: f64, proxy: usize) {
-        let mut chance = Chance::of(self.seed, Of::Proxy, (proxy as u64) << 16 | self.proxies[proxy].starts);
-        let at = if now > 0.0 { now + chance.within(self.of.proxy.start) } else { 0.0 };
-        self.proxies[proxy].starts += 1;
-        self.queue.put(at, Due::StartProxy(proxy));
+        let mut chance = RandomStream::new(
+            self.seed,
+            StreamPurpose::Proxy,
+            (proxy as u64) << 16 | self.proxies[proxy].start_count,
+        );
+        let at = if now > 0.0 { now + chance.uniform_in(self.experiment.proxy.start_delay) } else { 0.0 };
+        self.proxies[proxy].start_count += 1;
+        self.queue.push(at, Event::StartProxy(proxy));
     }
 
     /// A new process takes a running one's place.
     pub(crate) fn hand_over(&mut self, now: f64, proxy: usize) {
-        if self.proxies[proxy].up && !self.proxies[proxy].is_stopping() {
-            self.proxies[proxy].starts += 1;
-            self.service.mark(now, format!("proxy {proxy} is handed over"));
-            self.effects.push(Effect::Handover(proxy, self.of.proxy.leave_in));
+        if self.proxies[proxy].listening && !self.proxies[proxy].is_stopping() {
+            self.proxies[proxy].start_count += 1;
+            self.service.annotate(now, format!("proxy {proxy} is handed over"));
+            self.effects.push(Effect::Handover(proxy, self.experiment.proxy.leave_in));
         }
     }
 
@@ -622,7 +642,12 @@
 
     /// The seed of a proxy's present process.
     pub fn proxy_seed(&self, proxy: usize) -> u64 {
-        Chance::of(self.seed, Of::Proxy, (proxy as u64) << 16 | self.proxies[proxy].starts << 8 | 1).bits()
+        RandomStream::new(
+            self.seed,
+            StreamPurpose::Proxy,
+            (proxy as u64) << 16 | self.proxies[proxy].start_count << 8 | 1,
+        )
+        .next_u64()
     }
 
     pub fn node_name(&self, node: usize) -> &str {
@@ -636,22 +661,22 @@
 
     /// What it came to, from when the service had settled.
     pub fn outcome(&mut self) -> Outcome {
-        let (from, to) = (SETTLED.min(self.of.seconds / 2.0), self.of.seconds);
+        let (from, to) = (SETTLING_TIME.min(self.experiment.seconds / 2.0), self.experiment.seconds);
         self.service.outcome(from, to)
     }
 
     /// Whether this proxy and this node hear nothing of each other.
-    pub fn is_cut(&self, proxy: usize, node: usize) -> bool {
+    pub fn is_partitioned(&self, proxy: usize, node: usize) -> bool {
         self.network.is_cut(self.proxies[proxy].zone, self.nodes[node].zone)
     }
 
     /// Nobody new comes from now on.
-    pub fn close_the_shop(&mut self) {
+    pub fn stop_arrivals(&mut self) {
         self.crowd.open = false;
     }
 
     /// Links open, for tests that nothing is left over.
-    pub fn links_open(&self) -> usize {
+    pub fn open_links(&self) -> usize {
         self.links.len()
     }
 }
--- a/crates/dewhead-world/tests/audit.rs
+++ b/crates/dewhead-world/tests/audit.rs
@@ -1,7 +1,7 @@
 //! The auditor, by hand: the test plays the proxy's part on the wires of a small world.
 
 use dewhead_world::experiment::Experiment;
-use dewhead_world::world::{Effect, How, LinkKey, Target, World};
+use dewhead_world::world::{Effect, EndKind, LinkKey, Target, World};
 
 const DAY: &str = r#"
 seconds = 20
@@ -25,11 +25,11 @@
 fn until<T>(world: &mut World, mut wanted: impl FnMut(&Effect) -> Option<T>) -> (f64, T) {
     let mut effects = Vec::new();
     loop {
-        world.effects(&mut effects);
+        world.take_effects(&mut effects);
         if let Some(found) = effects.iter().find_map(&mut wanted) {
-            return (world.next_due().expect("there is always more to come"), found);
+            return (world.next_event_time().expect("there is always more to come"), found);
         }
-        let now = world.next_due().expect("there is always more to come");
+        let now = world.next_event_time().expect("there is always more to come");
         assert!(now < 20.0, "it does not happen");
         world.step(now);
     }
@@ -51,33 +51,33 @@
 /// link's slot, so that the next link in that slot took away the leg of a call that was still open.
 #[test]
 fn lines_that_are_on_their_way_when_their_leg_has_ended_are_the_servers() {
-    let of = Experiment::read(DAY).expect("it is sound");
+    let of = Experiment::parse(DAY).expect("it is sound");
     let mut world = World::new(&of, 1);
     until(&mut world, |effect| matches!(effect, Effect::Start(..)).then_some(()));
-    world.ready(0.1, 0);
+    world.on_listening(0.1, 0);
     let (now, (front, _)) = until(&mut world, |effect| bytes(effect, None));
-    world.said(now, front, b"PONG\r\n");
+    world.on_bytes(now, front, b"PONG\r\n");
     let (now, (client, head)) =
         until(&mut world, |effect| bytes(effect, None).filter(|(_, head)| head.starts_with(b"OPEN ")));
-    let leg = world.dialled(now, 0, Target::Node(0));
+    let leg = world.on_dial(now, 0, Target::Node(0));
     let (now, ()) =
-        until(&mut world, |effect| matches!(effect, Effect::Up(link) if *link == leg).then_some(()));
-    world.said(now, leg, &head);
+        until(&mut world, |effect| matches!(effect, Effect::Established(link) if *link == leg).then_some(()));
+    world.on_bytes(now, leg, &head);
     let (now, (_, answer)) = until(&mut world, |effect| bytes(effect, Some(leg)));
     let first = answer.iter().position(|byte| *byte == b'\n').expect("a line") + 1;
-    world.said(now, client, &answer[..first]);
+    world.on_bytes(now, client, &answer[..first]);
     let (now, ()) =
         until(&mut world, |effect| matches!(effect, Effect::End(link, _) if *link == leg).then_some(()));
-    world.ended(now, leg, How::Broken);
+    world.on_end(now, leg, EndKind::Broken);
     // What comes next in the books: connections that the proxy makes elsewhere.
     for _ in 0..4 {
-        world.dialled(now, 0, Target::Node(1));
+        world.on_dial(now, 0, Target::Node(1));
     }
-    world.said(now, client, &answer[first..]);
-    world.said(now, client, b"MOVE\r\n");
-    world.ended(now, client, How::Closed);
+    world.on_bytes(now, client, &answer[first..]);
+    world.on_bytes(now, client, b"MOVE\r\n");
+    world.on_end(now, client, EndKind::Closed);
     // Clients that come meanwhile are not answered by anybody here.
     let id = String::from_utf8_lossy(&head).split(' ').nth(1).map(str::to_owned);
-    let breaches: Vec<_> = world.audit.breaches.iter().filter(|breach| breach.call == id).collect();
+    let breaches: Vec<_> = world.audit.violations.iter().filter(|breach| breach.call == id).collect();
     assert!(breaches.is_empty(), "{breaches:#?}");
 }
--- a/crates/dewhead-world/tests/experiment.rs
+++ b/crates/dewhead-world/tests/experiment.rs
@@ -20,7 +20,7 @@
         ("[matrix]\n\"load.utilisation\" = [0.5, -1]", "load.utilisation"),
         ("[matrix]\n\"load.none\" = [1]", "load.none"),
     ] {
-        let fault = Experiment::read(text).and_then(|of| of.points().map(|_| ())).expect_err(text);
+        let fault = Experiment::parse(text).and_then(|of| of.matrix_points().map(|_| ())).expect_err(text);
         assert!(fault.contains(named), "{text}: {fault}");
         assert!(!fault.contains('\n'), "one line: {fault}");
     }
@@ -29,11 +29,11 @@
 #[test]
 fn the_matrix_is_swept_and_each_point_can_be_read_again() {
     let text = "[matrix]\n\"load.utilisation\" = [0.3, 0.6]\n\"fleet.proxies\" = [1, 2, 3]";
-    let points = Experiment::read(text).unwrap().points().unwrap();
+    let points = Experiment::parse(text).unwrap().matrix_points().unwrap();
     assert_eq!(points.len(), 6);
     let (words, last) = &points[5];
     assert_eq!((last.load.utilisation, last.fleet.proxies), (0.6, 3));
     assert_eq!(words, "fleet.proxies = 3, load.utilisation = 0.6");
-    let again = Experiment::read(&toml::to_string(last).unwrap()).unwrap();
+    let again = Experiment::parse(&toml::to_string(last).unwrap()).unwrap();
     assert_eq!(toml::to_string(&again).unwrap(), toml::to_string(last).unwrap());
 }
