--- a/crates/dewhead-lab/src/plain.rs
+++ b/crates/dewhead-lab/src/plain.rs
@@ -4,7 +4,7 @@
 use crate::policy::{Policy, Truths};
 use crate::simulated::Proxy;
 use dewhead::terms::{Effect as Repeat, Group, State, TrafficType};
-use dewhead_proxy::reducer::{Effect, End, Event, How};
+use dewhead_proxy::reducer::{CloseKind, Effect, Endpoint, Event};
 use dewhead_proxy::wire::answers::{word, Word};
 use dewhead_proxy::wire::head::{opening, Opening};
 use dewhead_proxy::wire::http::Answer;
@@ -240,7 +240,7 @@
     }
 
     fn follow(&mut self, now: f64) {
-        self.effects.push(Effect::Follow(self.discovery, self.version));
+        self.effects.push(Effect::OpenWatch(self.discovery, self.version));
         self.set(now + WATCH_SILENT, Due::Watch);
     }
 
@@ -418,7 +418,7 @@
             held: Vec::new(),
         });
         self.sessions[key].leg = Some(leg);
-        self.effects.push(Effect::Dial(leg, dial));
+        self.effects.push(Effect::Connect(leg, dial));
         let serial = self.serial + 1;
         self.sessions[key].timer = serial;
         self.set(now + self.connect_limit.min(limit), Due::Leg(leg, serial));
@@ -427,13 +427,13 @@
     /// The leg is over; the call goes on with another, or is answered.
     fn leg_over(&mut self, now: f64, leg: usize, may_have_run: bool) {
         let key = self.legs[leg].session;
-        self.drop_leg(leg, How::Broken, may_have_run, now);
+        self.drop_leg(leg, CloseKind::Abortive, may_have_run, now);
         if self.sessions[key].stage == Stage::Calling {
             self.next_leg(now, key);
         }
     }
 
-    fn drop_leg(&mut self, leg: usize, how: How, may_have_run: bool, now: f64) {
+    fn drop_leg(&mut self, leg: usize, how: CloseKind, may_have_run: bool, now: f64) {
         let gone = self.legs.remove(leg);
         if let Some(node) = self.nodes.get_mut(&gone.node) {
             node.held = node.held.saturating_sub(1);
@@ -446,7 +446,7 @@
         if session.leg == Some(leg) {
             session.leg = None;
         }
-        self.effects.push(Effect::Close(End::Server(leg), how));
+        self.effects.push(Effect::Close(Endpoint::Server(leg), how));
     }
 
     fn give_up(&mut self, now: f64, key: usize) {
@@ -472,24 +472,24 @@
     /// The last word to a client.
     fn part(&mut self, now: f64, key: usize, text: &[u8]) {
         if let Some(leg) = self.sessions[key].leg {
-            self.drop_leg(leg, How::Closed, false, now);
+            self.drop_leg(leg, CloseKind::Graceful, false, now);
         }
         if !text.is_empty() {
-            self.effects.push(Effect::Text(End::Client(key), text.to_vec()));
+            self.effects.push(Effect::Write(Endpoint::Client(key), text.to_vec()));
         }
-        self.effects.push(Effect::Finish(End::Client(key)));
+        self.effects.push(Effect::ShutdownWrite(Endpoint::Client(key)));
         self.sessions[key].stage = Stage::Parting;
         let serial = self.serial + 1;
         self.sessions[key].timer = serial;
         self.set(now + self.longest_guard, Due::Session(key, serial));
     }
 
-    fn close(&mut self, now: f64, key: usize, how: How) {
+    fn close(&mut self, now: f64, key: usize, how: CloseKind) {
         if let Some(leg) = self.sessions[key].leg {
-            self.drop_leg(leg, How::Closed, false, now);
+            self.drop_leg(leg, CloseKind::Graceful, false, now);
         }
         self.sessions.remove(key);
-        self.effects.push(Effect::Close(End::Client(key), how));
+        self.effects.push(Effect::Close(Endpoint::Client(key), how));
     }
 
     fn move_away(&mut self, now: f64, key: usize) {
@@ -521,7 +521,7 @@
                         if self.stopping.is_some() || self.nodes.is_empty() {
                             return self.part(now, key, b"");
                         }
-                        self.effects.push(Effect::Text(End::Client(key), b"PONG\r\n".to_vec()));
+                        self.effects.push(Effect::Write(Endpoint::Client(key), b"PONG\r\n".to_vec()));
                     }
                     Ok(Opening::Open { wanted, wait, held_at, .. }) => {
                         session.wait = wait;
@@ -567,9 +567,9 @@
                 if self.broken(Fault::ChangesLines) {
                     let mut changed = bytes.to_vec();
                     changed[0] ^= 1;
-                    return self.effects.push(Effect::Text(End::Server(leg), changed));
+                    return self.effects.push(Effect::Write(Endpoint::Server(leg), changed));
                 }
-                self.effects.push(Effect::Pass(End::Server(leg), 0..bytes.len()));
+                self.effects.push(Effect::Forward(Endpoint::Server(leg), 0..bytes.len()));
             }
             Stage::Parting => {}
         }
@@ -583,11 +583,11 @@
         let one = &mut self.legs[leg];
         if one.up {
             one.farewell = read_along(&mut self.sessions[key], bytes) || one.farewell;
-            self.effects.push(Effect::Pass(End::Client(key), 0..bytes.len()));
+            self.effects.push(Effect::Forward(Endpoint::Client(key), 0..bytes.len()));
             if self.sessions[key].moving {
                 self.move_away(now, key);
             } else if self.fault == Some(Fault::CutsOff) && self.chance.rand_u64().is_multiple_of(200) {
-                self.close(now, key, How::Closed);
+                self.close(now, key, CloseKind::Graceful);
             }
             return;
         }
@@ -603,7 +603,7 @@
                     session.head = Vec::new();
                 }
                 self.legs[leg].farewell = read_along(&mut self.sessions[key], &said);
-                self.effects.push(Effect::Text(End::Client(key), said));
+                self.effects.push(Effect::Write(Endpoint::Client(key), said));
                 if let Some(at) = self.stopping {
                     self.set_leave(key, at);
                 }
@@ -690,7 +690,7 @@
             Due::Session(key, serial) => {
                 let Some(session) = self.sessions.get(key).filter(|s| s.timer == serial) else { return };
                 match session.stage {
-                    Stage::Greeting | Stage::Parting => self.close(now, key, How::Closed),
+                    Stage::Greeting | Stage::Parting => self.close(now, key, CloseKind::Graceful),
                     Stage::Calling => {}
                     Stage::Standing => match session.unanswered {
                         Some(since) if now - since >= SILENT - 1e-3 => self.move_away(now, key),
@@ -717,7 +717,7 @@
             }
             Due::Watch => {
                 if self.answer.is_none() {
-                    self.effects.push(Effect::Unfollow);
+                    self.effects.push(Effect::CloseWatch);
                     self.follow(now);
                 }
             }
@@ -726,7 +726,7 @@
             Due::Hold(leg) => {
                 if let Some(one) = self.legs.get_mut(leg) {
                     let held = std::mem::take(&mut one.held);
-                    self.effects.push(Effect::Text(End::Server(leg), held));
+                    self.effects.push(Effect::Write(Endpoint::Server(leg), held));
                 }
             }
         }
@@ -770,27 +770,27 @@
                     born: serial,
                 });
                 self.set(now + 2.5, Due::Session(key, serial));
-                self.effects.push(Effect::Admit(key));
+                self.effects.push(Effect::AssignSession(key));
             }
-            Event::Bytes(End::Client(key), bytes) => self.client_said(now, key, bytes),
-            Event::Bytes(End::Server(leg), bytes) => self.server_said(now, leg, bytes),
-            Event::Closed(End::Client(key), how) => {
+            Event::Bytes(Endpoint::Client(key), bytes) => self.client_said(now, key, bytes),
+            Event::Bytes(Endpoint::Server(leg), bytes) => self.server_said(now, leg, bytes),
+            Event::Closed(Endpoint::Client(key), how) => {
                 if self.sessions.contains(key) {
                     self.close(now, key, how);
                 }
             }
-            Event::Closed(End::Server(leg), _) => self.server_closed(now, leg),
+            Event::Closed(Endpoint::Server(leg), _) => self.server_closed(now, leg),
             Event::Connected(leg) => {
                 let Some(one) = self.legs.get(leg) else { return };
                 let (session, until) = (one.session, one.until);
                 if !self.sessions.contains(session) {
                     return;
                 }
-                let figure = ((until - now) * 1e3).max(1.0) as u64;
-                let wait = self.sessions[session].wait.clone();
-                self.effects.push(Effect::Head { leg, session, wait, figure });
+                let timeout_ms = ((until - now) * 1e3).max(1.0) as u64;
+                let timeout_range = self.sessions[session].wait.clone();
+                self.effects.push(Effect::SendHead { leg, session, timeout_range, timeout_ms });
             }
-            Event::Refused(leg) | Event::NotDialled(leg) => {
+            Event::ConnectFailed(leg) | Event::ConnectNotStarted(leg) => {
                 if self.legs.contains(leg) {
                     self.leg_over(now, leg, false);
                 }
@@ -804,8 +804,8 @@
                 session.timer = serial;
                 self.set(until, Due::Leg(leg, serial));
             }
-            Event::WatchOpen => self.answer = Some(Answer::default()),
-            Event::Watch(bytes) => {
+            Event::WatchOpened => self.answer = Some(Answer::default()),
+            Event::WatchBytes(bytes) => {
                 let Some(mut answer) = self.answer.take() else { return };
                 let mut lists: Vec<Value> = Vec::new();
                 let more =
@@ -828,7 +828,7 @@
             Event::Stop => self.stop(now),
             // Only a proxy with a control socket is told these.
             Event::Drain(_) | Event::Undrain | Event::Retire(_) => {}
-            Event::Renewed(discovery, _) => {
+            Event::Reconfigured(discovery, _) => {
                 (self.discovery, self.version, self.answer) = (discovery, 0, None);
                 self.follow(now);
             }
--- a/crates/dewhead-lab/src/scale/hollow.rs
+++ b/crates/dewhead-lab/src/scale/hollow.rs
@@ -2,7 +2,7 @@
 //! servers. Many share this process; what they cost is the processor time of its one thread inside their steps.
 
 use super::{memory, thread_time, Clock};
-use dewhead_proxy::reducer::{Effect, End, Event, How, Reducer};
+use dewhead_proxy::reducer::{CloseKind, Effect, Endpoint, Event, Reducer};
 use dewhead_proxy::wire::http;
 use dewhead_startup::Startup;
 use dewhead_world::experiment::Experiment;
@@ -151,7 +151,7 @@
             looked = now;
             for at in 0..self.hollows.len() {
                 if self.hollows[at].reducer.next_due().is_some_and(|due| due <= now) {
-                    self.hollows[at].reducer.looked(now, 0.0);
+                    self.hollows[at].reducer.set_poll_times(now, 0.0);
                     self.step(at, Event::Tick, For::Tick);
                 }
                 while go.is_some() && self.hollows[at].next_pick <= now {
@@ -280,15 +280,15 @@
 
     fn apply(&mut self, at: usize, _bytes: &[u8]) {
         let mut then: VecDeque<(Event<'static>, For)> = VecDeque::new();
-        for effect in self.hollows[at].reducer.effects() {
+        for effect in self.hollows[at].reducer.take_effects() {
             match effect {
-                Effect::Admit(slot) => self.hollows[at].admitted = Some(slot),
-                Effect::Dial(leg, _) => then.push_back((Event::Connected(leg), For::Pick)),
-                Effect::Head { leg, .. } => {
+                Effect::AssignSession(slot) => self.hollows[at].admitted = Some(slot),
+                Effect::Connect(leg, _) => then.push_back((Event::Connected(leg), For::Pick)),
+                Effect::SendHead { leg, .. } => {
                     then.push_back((Event::HeadWritten(leg), For::Pick));
-                    then.push_back((Event::Bytes(End::Server(leg), b"UP 1\r\n"), For::Pick));
+                    then.push_back((Event::Bytes(Endpoint::Server(leg), b"UP 1\r\n"), For::Pick));
                 }
-                Effect::Text(End::Client(slot), text) => {
+                Effect::Write(Endpoint::Client(slot), text) => {
                     if text.starts_with(b"UP") {
                         self.serial += 1;
                         let hollow = &mut self.hollows[at];
@@ -298,14 +298,16 @@
                         self.counts.refused += 1;
                     }
                 }
-                Effect::Finish(end) => then.push_back((Event::Closed(end, How::Closed), For::Pick)),
-                Effect::Close(End::Client(slot), _) => drop(self.hollows[at].alive.remove(&slot)),
-                Effect::Follow(discovery, since) => self.follow(at, discovery, since),
-                Effect::Unfollow => self.hollows[at].link = None,
-                Effect::Close(End::Server(_), _)
-                | Effect::Pass(..)
-                | Effect::Text(..)
-                | Effect::Accepting(_)
+                Effect::ShutdownWrite(end) => {
+                    then.push_back((Event::Closed(end, CloseKind::Graceful), For::Pick))
+                }
+                Effect::Close(Endpoint::Client(slot), _) => drop(self.hollows[at].alive.remove(&slot)),
+                Effect::OpenWatch(discovery, since) => self.follow(at, discovery, since),
+                Effect::CloseWatch => self.hollows[at].link = None,
+                Effect::Close(Endpoint::Server(_), _)
+                | Effect::Forward(..)
+                | Effect::Write(..)
+                | Effect::SetAccepting(_)
                 | Effect::Exit => {}
             }
         }
@@ -347,7 +349,7 @@
                 return self.step(at, Event::WatchLost, For::Watch);
             }
             *connecting = false;
-            self.step(at, Event::WatchOpen, For::Watch);
+            self.step(at, Event::WatchOpened, For::Watch);
         }
         let mut piece = [0; 8192];
         loop {
@@ -359,7 +361,7 @@
                 }
                 Ok(n) => {
                     self.counts.bytes += n as u64;
-                    self.step(at, Event::Watch(&piece[..n]), For::Watch);
+                    self.step(at, Event::WatchBytes(&piece[..n]), For::Watch);
                     self.seen(at);
                 }
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return,
@@ -396,7 +398,7 @@
         while self.hollows[at].alive.len() >= self.spec.standing.max(1) {
             let Some((slot, serial)) = self.hollows[at].stands.pop_front() else { break };
             if self.hollows[at].alive.get(&slot) == Some(&serial) {
-                self.step(at, Event::Closed(End::Client(slot), How::Closed), For::Pick);
+                self.step(at, Event::Closed(Endpoint::Client(slot), CloseKind::Graceful), For::Pick);
             }
         }
         self.call(at);
@@ -407,6 +409,6 @@
         let Some(slot) = self.hollows[at].admitted.take() else { return };
         self.serial += 1;
         let line = format!("OPEN {:016x} {:016x} {}", self.serial, self.serial, self.open);
-        self.step(at, Event::Bytes(End::Client(slot), line.as_bytes()), For::Pick);
+        self.step(at, Event::Bytes(Endpoint::Client(slot), line.as_bytes()), For::Pick);
     }
 }
--- a/crates/dewhead-lab/src/simulated.rs
+++ b/crates/dewhead-lab/src/simulated.rs
@@ -4,7 +4,7 @@
 use crate::plain::{Fault, Plain};
 use crate::policy::{self, Policy, Truths};
 use dewhead_proxy::memory::known;
-use dewhead_proxy::reducer::{Effect, End, Event, How, Reducer};
+use dewhead_proxy::reducer::{CloseKind, Effect, Endpoint, Event, Reducer};
 use dewhead_proxy::wire::http;
 use dewhead_startup::Startup;
 use dewhead_world::discovery::EPOCH;
@@ -22,7 +22,7 @@
     fn step(&mut self, now: f64, event: Event);
     fn effects(&mut self) -> Vec<Effect>;
     fn next_due(&self) -> Option<f64>;
-    /// A session's first line, for `Effect::Head`.
+    /// A session's first line, for `Effect::SendHead`.
     fn head(&self, session: usize) -> &[u8];
     /// What it hands to one that takes its place; none where it can't be.
     fn hand_on(&self, _now: f64) -> Option<Value> {
@@ -35,16 +35,16 @@
         Reducer::step(self, now, event);
     }
     fn effects(&mut self) -> Vec<Effect> {
-        Reducer::effects(self)
+        Reducer::take_effects(self)
     }
     fn next_due(&self) -> Option<f64> {
         Reducer::next_due(self)
     }
     fn head(&self, session: usize) -> &[u8] {
-        Reducer::head(self, session)
+        Reducer::session_head(self, session)
     }
     fn hand_on(&self, now: f64) -> Option<Value> {
-        Some(Reducer::hand_on(self, now))
+        Some(Reducer::export_state(self, now))
     }
 }
 
@@ -235,7 +235,7 @@
                 self.world.gone(self.now, p);
             }
             world::Effect::Renew(p, address) => {
-                let event = Event::Renewed(agent_address(address), self.world.of.proxy.sockets);
+                let event = Event::Reconfigured(agent_address(address), self.world.of.proxy.sockets);
                 if let Some(p) = self.current[p] {
                     self.tell(p, clock, event, &[]);
                 }
@@ -253,32 +253,34 @@
                 Some((p, At::Watch)) => {
                     let since = self.processes[p].as_ref().map_or(0, |one| one.since);
                     self.world.said(self.now, key, &http::follow("discovery", since));
-                    self.tell(p, clock, Event::WatchOpen, &[]);
+                    self.tell(p, clock, Event::WatchOpened, &[]);
                 }
                 _ => {}
             },
             world::Effect::Refused(key) => match self.refused(key) {
-                Some((p, At::Leg(leg))) => self.tell(p, clock, Event::Refused(leg), &[]),
+                Some((p, At::Leg(leg))) => self.tell(p, clock, Event::ConnectFailed(leg), &[]),
                 Some((p, At::Watch)) => self.lose_watch(p),
                 _ => {}
             },
             world::Effect::Bytes(key, bytes) => match self.whose(key) {
                 Some((p, At::Client(slot))) => {
-                    self.tell(p, clock, Event::Bytes(End::Client(slot), &bytes), &bytes);
+                    self.tell(p, clock, Event::Bytes(Endpoint::Client(slot), &bytes), &bytes);
                 }
                 Some((p, At::Leg(leg))) => {
-                    self.tell(p, clock, Event::Bytes(End::Server(leg), &bytes), &bytes)
+                    self.tell(p, clock, Event::Bytes(Endpoint::Server(leg), &bytes), &bytes)
                 }
-                Some((p, At::Watch)) => self.tell(p, clock, Event::Watch(&bytes), &[]),
+                Some((p, At::Watch)) => self.tell(p, clock, Event::WatchBytes(&bytes), &[]),
                 None => {}
             },
             world::Effect::End(key, how) => {
-                let how = if how == world::How::Broken { How::Broken } else { How::Closed };
+                let how = if how == world::How::Broken { CloseKind::Abortive } else { CloseKind::Graceful };
                 match self.whose(key) {
                     Some((p, At::Client(slot))) => {
-                        self.tell(p, clock, Event::Closed(End::Client(slot), how), &[])
+                        self.tell(p, clock, Event::Closed(Endpoint::Client(slot), how), &[])
+                    }
+                    Some((p, At::Leg(leg))) => {
+                        self.tell(p, clock, Event::Closed(Endpoint::Server(leg), how), &[])
                     }
-                    Some((p, At::Leg(leg))) => self.tell(p, clock, Event::Closed(End::Server(leg), how), &[]),
                     Some((p, At::Watch)) => {
                         self.at.remove(key);
                         self.world.ended(self.now, key, world::How::Closed);
@@ -340,7 +342,7 @@
             Who::Dewhead => {
                 let mut reducer = Reducer::new(clock, startup, seed, discovery, of.proxy.sockets, known);
                 if let Some(handed) = handed {
-                    reducer.take_up(clock, handed);
+                    reducer.import_state(clock, handed);
                 }
                 Box::new(reducer)
             }
@@ -419,15 +421,15 @@
         self.apply(p, clock, bytes);
     }
 
-    fn link(&self, p: usize, end: End) -> Option<LinkKey> {
+    fn link(&self, p: usize, end: Endpoint) -> Option<LinkKey> {
         let process = self.processes[p].as_ref()?;
         match end {
-            End::Client(slot) => *process.clients.get(slot)?,
-            End::Server(leg) => *process.legs.get(leg)?,
+            Endpoint::Client(slot) => *process.clients.get(slot)?,
+            Endpoint::Server(leg) => *process.legs.get(leg)?,
         }
     }
 
-    fn say(&mut self, p: usize, end: End, bytes: &[u8]) {
+    fn say(&mut self, p: usize, end: Endpoint, bytes: &[u8]) {
         if let Some(key) = self.link(p, end).filter(|_| !bytes.is_empty()) {
             self.world.said(self.now, key, bytes);
         }
@@ -442,7 +444,7 @@
         let mut exit = false;
         for effect in effects {
             match effect {
-                Effect::Admit(slot) => {
+                Effect::AssignSession(slot) => {
                     if let Some(process) = &mut self.processes[p] {
                         if let Some(key) = process.fresh.take() {
                             put(&mut process.clients, slot, key);
@@ -450,51 +452,57 @@
                         }
                     }
                 }
-                Effect::Dial(leg, to) => {
+                Effect::Connect(leg, to) => {
                     let key = self.world.dialled(self.now, of, Target::Node(place(to)));
                     self.at.insert(key, (p, At::Leg(leg)));
                     if let Some(process) = &mut self.processes[p] {
                         put(&mut process.legs, leg, key);
                     }
                 }
-                Effect::Head { leg, session, wait, figure } => {
+                Effect::SendHead { leg, session, timeout_range, timeout_ms } => {
                     let Some(process) = &self.processes[p] else { continue };
                     let head = process.proxy.head(session);
-                    let text = if wait.is_empty() {
+                    let text = if timeout_range.is_empty() {
                         head.to_vec()
                     } else {
-                        [&head[..wait.start], figure.to_string().as_bytes(), &head[wait.end..]].concat()
+                        [
+                            &head[..timeout_range.start],
+                            timeout_ms.to_string().as_bytes(),
+                            &head[timeout_range.end..],
+                        ]
+                        .concat()
                     };
-                    self.say(p, End::Server(leg), &text);
+                    self.say(p, Endpoint::Server(leg), &text);
                     written.push(leg);
                 }
-                Effect::Pass(end, range) => self.say(p, end, &bytes[range]),
-                Effect::Text(end, text) => self.say(p, end, &text),
-                Effect::Finish(end) => {
+                Effect::Forward(end, range) => self.say(p, end, &bytes[range]),
+                Effect::Write(end, text) => self.say(p, end, &text),
+                Effect::ShutdownWrite(end) => {
                     if let Some(key) = self.link(p, end) {
                         self.world.ended(self.now, key, world::How::Finished);
                     }
                 }
                 Effect::Close(end, how) => {
                     if let Some(key) = self.link(p, end) {
-                        let how = if how == How::Broken { world::How::Broken } else { world::How::Closed };
+                        let how =
+                            if how == CloseKind::Abortive { world::How::Broken } else { world::How::Closed };
                         self.at.remove(key);
                         self.world.ended(self.now, key, how);
                         if let Some(process) = &mut self.processes[p] {
                             match end {
-                                End::Client(slot) => process.clients[slot] = None,
-                                End::Server(leg) => process.legs[leg] = None,
+                                Endpoint::Client(slot) => process.clients[slot] = None,
+                                Endpoint::Server(leg) => process.legs[leg] = None,
                             }
                         }
                     }
                 }
-                Effect::Accepting(on) => {
+                Effect::SetAccepting(on) => {
                     if let Some(process) = &mut self.processes[p] {
                         process.accepting = on;
                         accept |= on;
                     }
                 }
-                Effect::Follow(to, since) => {
+                Effect::OpenWatch(to, since) => {
                     self.unfollow(p);
                     let key = self.world.dialled(self.now, of, Target::Agent(place(to)));
                     self.at.insert(key, (p, At::Watch));
@@ -502,7 +510,7 @@
                         (process.watch, process.since) = (Some(key), since);
                     }
                 }
-                Effect::Unfollow => self.unfollow(p),
+                Effect::CloseWatch => self.unfollow(p),
                 Effect::Exit => exit = true,
             }
         }
--- a/crates/dewhead-lab/tests/scale.rs
+++ b/crates/dewhead-lab/tests/scale.rs
@@ -111,18 +111,18 @@
         self.lines += 1;
         self.bytes += line.len() as u64;
         self.entries += entries;
-        self.step(at, Event::Watch(line.as_bytes()));
+        self.step(at, Event::WatchBytes(line.as_bytes()));
     }
 
     /// Answers the call that the proxy has made, by the version that it names.
     fn open(&mut self, at: usize) {
-        let asked = self.proxies[at].effects().into_iter().find_map(|e| match e {
-            Effect::Follow(_, since) => Some(since),
+        let asked = self.proxies[at].take_effects().into_iter().find_map(|e| match e {
+            Effect::OpenWatch(_, since) => Some(since),
             _ => None,
         });
         let since = asked.expect("it asks");
-        self.step(at, Event::WatchOpen);
-        self.step(at, Event::Watch(b"HTTP/1.1 200 OK\r\n\r\n"));
+        self.step(at, Event::WatchOpened);
+        self.step(at, Event::WatchBytes(b"HTTP/1.1 200 OK\r\n\r\n"));
         let whole = since == 0 || self.fault == Fault::WholeForReturn;
         let line = self.line(since, whole);
         self.write(at, &line);
@@ -145,7 +145,7 @@
         for at in 0..self.proxies.len() {
             self.step(at, Event::WatchLost);
             // Long past any pause.
-            self.proxies[at].looked(self.now + 10.0, 0.0);
+            self.proxies[at].set_poll_times(self.now + 10.0, 0.0);
             self.proxies[at].step(self.now + 10.0, Event::Tick);
             self.open(at);
         }
--- a/crates/dewhead-proxy/src/lifecycle/mod.rs
+++ b/crates/dewhead-proxy/src/lifecycle/mod.rs
@@ -68,7 +68,7 @@
     let newest = if listing(newest, &startup.known.zones).is_ok() { newest } else { &remembered };
     let mut reducer = Reducer::new(clock.now(), startup, seed, discovery, descriptors, newest);
     if let Some(handed) = &handed {
-        reducer.take_up(clock.now(), handed);
+        reducer.import_state(clock.now(), handed);
     }
     let (listener, predecessor) = match before {
         Some(before) => {
--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -37,7 +37,7 @@
 
 /// One end of a session: its client's connection, by the session's slot, or a leg's, by the leg's.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum End {
+pub enum Endpoint {
     Client(usize),
     Server(usize),
 }
@@ -46,18 +46,18 @@
 pub enum Event<'a> {
     /// A client has connected.
     Accepted,
-    Bytes(End, &'a [u8]),
+    Bytes(Endpoint, &'a [u8]),
     /// Nothing more comes from there: closed, or broken.
-    Closed(End, How),
+    Closed(Endpoint, CloseKind),
     Connected(usize),
     /// The connection did not come up.
-    Refused(usize),
+    ConnectFailed(usize),
     /// The connection could not be begun for want of something on this machine.
-    NotDialled(usize),
+    ConnectNotStarted(usize),
     /// A leg's head is written to its last byte.
     HeadWritten(usize),
-    WatchOpen,
-    Watch(&'a [u8]),
+    WatchOpened,
+    WatchBytes(&'a [u8]),
     WatchLost,
     /// Time has passed.
     Tick,
@@ -69,37 +69,37 @@
     /// Another process serves here from now on: clients leave over so many seconds, then the process ends.
     Retire(f64),
     /// A new configuration holds: where discovery is now, and the most descriptors.
-    Renewed(SocketAddr, usize),
+    Reconfigured(SocketAddr, usize),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum How {
-    Closed,
-    Broken,
+pub enum CloseKind {
+    Graceful,
+    Abortive,
 }
 
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// The client that has just connected is this session's.
-    Admit(usize),
-    Dial(usize, SocketAddr),
+    AssignSession(usize),
+    Connect(usize, SocketAddr),
     /// Write the session's first line to the leg, with another figure where the client's waiting time stands.
-    Head {
+    SendHead {
         leg: usize,
         session: usize,
-        wait: Range<usize>,
-        figure: u64,
+        timeout_range: Range<usize>,
+        timeout_ms: u64,
     },
     /// Pass on these of the event's bytes.
-    Pass(End, Range<usize>),
-    Text(End, Vec<u8>),
+    Forward(Endpoint, Range<usize>),
+    Write(Endpoint, Vec<u8>),
     /// Shut for writing once all is written.
-    Finish(End),
-    Close(End, How),
-    Accepting(bool),
+    ShutdownWrite(Endpoint),
+    Close(Endpoint, CloseKind),
+    SetAccepting(bool),
     /// Ask discovery, which is at this address, for the changes since this version.
-    Follow(SocketAddr, u64),
-    Unfollow,
+    OpenWatch(SocketAddr, u64),
+    CloseWatch,
     /// Nothing is owed to anybody known; who waits in the listener's queue still is.
     Exit,
 }
@@ -265,7 +265,7 @@
         if !remembered.is_null() {
             let told = Version::told(remembered, &reducer.known.zones);
             reducer.list(now, told, true);
-            reducer.unconfirmed = reducer.holds_list();
+            reducer.unconfirmed = reducer.has_server_list();
             reducer.timers.set(now + CONFIRMS * longest_guard, Due::Confirmed);
         }
         if !must_ask {
@@ -282,12 +282,12 @@
 
     /// The turn that begins brings all that came by `at`, and comes so many seconds late. Held up between looking and
     /// reading its clock, the process judged by a time that nothing had been looked for until.
-    pub fn looked(&mut self, at: f64, late: f64) {
+    pub fn set_poll_times(&mut self, at: f64, late: f64) {
         (self.looked_at, self.held_up) = (at, late);
     }
 
     /// The wall clock shows so many seconds more than the clock of `now`: it has been stepped since the start.
-    pub fn wall_clock_is_ahead(&mut self, by: f64) {
+    pub fn observe_wall_clock(&mut self, by: f64) {
         if let Some(step) = self.wall_clock.observe(by) {
             warn!("the wall clock was stepped by {step:.3} s");
         }
@@ -298,53 +298,53 @@
         self.held_up <= OWN_DELAY * took
     }
 
-    /// A session's first line, for `Effect::Head`.
-    pub fn head(&self, session: usize) -> &[u8] {
+    /// A session's first line, for `Effect::SendHead`.
+    pub fn session_head(&self, session: usize) -> &[u8] {
         self.sessions.get(session).map_or(&[], |s| &s.head)
     }
 
     /// Where bytes from this end go once the call stands.
-    pub fn other(&self, end: End) -> Option<End> {
+    pub fn peer_of(&self, end: Endpoint) -> Option<Endpoint> {
         match end {
-            End::Client(key) => self.sessions.get(key)?.bound().map(End::Server),
-            End::Server(leg) => self.client_of(leg),
+            Endpoint::Client(key) => self.sessions.get(key)?.bound().map(Endpoint::Server),
+            Endpoint::Server(leg) => self.client_of(leg),
         }
     }
 
     /// The client that a leg is out for.
-    pub fn client_of(&self, leg: usize) -> Option<End> {
-        Some(End::Client(self.legs.get(leg)?.session))
+    pub fn client_of(&self, leg: usize) -> Option<Endpoint> {
+        Some(Endpoint::Client(self.legs.get(leg)?.session))
     }
 
     /// Sessions and legs open, and descriptors counted for them.
-    pub fn open(&self) -> (usize, usize, usize) {
+    pub fn open_counts(&self) -> (usize, usize, usize) {
         (self.sessions.len(), self.legs.len(), self.descriptors.used - FIXED)
     }
 
     /// Timers that wait; each belongs to a session, a leg, the watch, the balancer or a stop.
-    pub fn timers(&self) -> usize {
+    pub fn timer_count(&self) -> usize {
         self.timers.count()
     }
 
     /// Whether servers are known.
-    pub fn holds_list(&self) -> bool {
+    pub fn has_server_list(&self) -> bool {
         !self.servers.0.is_empty()
     }
 
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     pub fn step(&mut self, now: f64, event: Event) {
         match event {
             Event::Accepted => self.accepted(now),
-            Event::Bytes(End::Client(key), bytes) => self.client_said(now, key, bytes),
-            Event::Bytes(End::Server(leg), bytes) => self.server_said(now, leg, bytes),
-            Event::Closed(End::Client(key), how) => self.client_closed(now, key, how),
-            Event::Closed(End::Server(leg), how) => self.server_closed(now, leg, how),
+            Event::Bytes(Endpoint::Client(key), bytes) => self.client_said(now, key, bytes),
+            Event::Bytes(Endpoint::Server(leg), bytes) => self.server_said(now, leg, bytes),
+            Event::Closed(Endpoint::Client(key), how) => self.client_closed(now, key, how),
+            Event::Closed(Endpoint::Server(leg), how) => self.server_closed(now, leg, how),
             Event::Connected(leg) => self.connected(now, leg),
-            Event::Refused(leg) => self.refused(now, leg),
-            Event::NotDialled(leg) => self.dial_later(now, leg),
+            Event::ConnectFailed(leg) => self.refused(now, leg),
+            Event::ConnectNotStarted(leg) => self.dial_later(now, leg),
             Event::HeadWritten(leg) => {
                 if let Some(out) = self.legs.get_mut(leg).filter(|l| l.stage == LegStage::Connecting) {
                     out.stage = LegStage::Asked;
@@ -355,10 +355,10 @@
                     }
                 }
             }
-            Event::WatchOpen => {
+            Event::WatchOpened => {
                 self.watch.answer = Some(Answer::default());
             }
-            Event::Watch(bytes) => self.watched(now, bytes),
+            Event::WatchBytes(bytes) => self.watched(now, bytes),
             Event::WatchLost => self.watch_lost(now),
             Event::Tick => {
                 while let Some(due) = self.timers.pop(now.min(self.looked_at)) {
@@ -370,7 +370,7 @@
             Event::Drain(spread) => self.drain(now, spread),
             Event::Undrain => self.undrain(),
             Event::Retire(spread) => self.retire(now, spread),
-            Event::Renewed(discovery, most) => {
+            Event::Reconfigured(discovery, most) => {
                 self.descriptors.most = most;
                 self.make_room(now);
                 self.weigh(now);
@@ -378,7 +378,7 @@
             }
         }
         self.settle(now);
-        if self.is_over(now) {
+        if self.is_finished(now) {
             self.effects.push(Effect::Exit);
         }
     }
@@ -420,7 +420,7 @@
                     let leg =
                         legs.and_then(|l| l.iter().find(|(n, _)| *n == number as usize)).map(|(_, l)| *l);
                     if let Some(leg) = leg {
-                        self.end_leg(now, leg, Ending::Cancelled, false, How::Broken);
+                        self.end_leg(now, leg, Ending::Cancelled, false, CloseKind::Abortive);
                     }
                 }
                 Asked::Relocate(call) => {
--- a/crates/dewhead-proxy/src/reducer/clients.rs
+++ b/crates/dewhead-proxy/src/reducer/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: from being accepted to their first line understood, and from their last word to their slot given back.
 
-use super::{Due, Effect, End, How, Reducer, MOST_SILENT, SLOT_BITS, TO_REFUSE};
+use super::{CloseKind, Due, Effect, Endpoint, Reducer, MOST_SILENT, SLOT_BITS, TO_REFUSE};
 use crate::guard::Owed;
 use crate::memory::counters::{AnswerReason, CloseReason};
 use crate::memory::sessions::{LegStage, Session, Stage};
@@ -51,7 +51,7 @@
             ran: None,
             returning: None,
         });
-        self.effects.push(Effect::Admit(key));
+        self.effects.push(Effect::AssignSession(key));
         self.replace_timer(key, Some(now + FIRST_LINE));
         self.loiter(now, key);
         self.descriptors.used += 1;
@@ -79,7 +79,7 @@
         while self.descriptors.most.saturating_sub(self.descriptors.used) < self.descriptors.most / SPARE {
             match self.loiterers.first_key_value() {
                 Some((_, &(key, since))) if now - since >= LET_SPEAK => {
-                    self.close_all(now, key, How::Closed, CloseReason::MadeRoom)
+                    self.close_all(now, key, CloseKind::Graceful, CloseReason::MadeRoom)
                 }
                 _ => return,
             }
@@ -92,7 +92,7 @@
         let accepting = if self.descriptors.accepting { left > 0 } else { left > TO_REFUSE / 2 };
         if accepting != self.descriptors.accepting {
             self.descriptors.accepting = accepting;
-            self.effects.push(Effect::Accepting(accepting));
+            self.effects.push(Effect::SetAccepting(accepting));
             self.look_for_room(now);
         }
     }
@@ -132,7 +132,7 @@
                 }
                 let silent = session.timer.is_none() && lines > 0 && session.moving.is_none();
                 if let Some(leg) = session.bound() {
-                    self.effects.push(Effect::Pass(End::Server(leg), 0..bytes.len()));
+                    self.effects.push(Effect::Forward(Endpoint::Server(leg), 0..bytes.len()));
                 }
                 if silent {
                     self.replace_timer(key, Some(now + MOST_SILENT));
@@ -165,7 +165,7 @@
                 // Only once it can serve, and no longer when it stops. What came behind it has its answer all the same.
                 let serves = !self.servers.0.is_empty() && self.stopping.is_none();
                 if serves {
-                    self.effects.push(Effect::Text(End::Client(key), answers::PONG.to_vec()));
+                    self.effects.push(Effect::Write(Endpoint::Client(key), answers::PONG.to_vec()));
                 }
                 if more {
                     self.greet(now, key);
@@ -223,7 +223,7 @@
         self.answer(now, key, answers::FAILED.to_vec(), AnswerReason::Misunderstood);
     }
 
-    pub(super) fn client_closed(&mut self, now: f64, key: usize, how: How) {
+    pub(super) fn client_closed(&mut self, now: f64, key: usize, how: CloseKind) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         match session.stage {
             Stage::Greeting | Stage::Parting => {}
@@ -235,19 +235,19 @@
             Stage::Standing => {
                 let leg = session.bound();
                 session.stage = Stage::Parting;
-                if let Some(leg) = leg.filter(|_| how == How::Closed) {
+                if let Some(leg) = leg.filter(|_| how == CloseKind::Graceful) {
                     // The server's last lines still go through.
                     self.tell_leg_ended(now, leg, Ending::Cancelled, true);
                     self.legs[leg].stage = LegStage::Parting;
-                    self.effects.push(Effect::Finish(End::Server(leg)));
+                    self.effects.push(Effect::ShutdownWrite(Endpoint::Server(leg)));
                     self.replace_wake(key, None);
                     return self.replace_timer(key, Some(now + 1.0));
                 }
             }
         }
         let why = match how {
-            How::Closed => CloseReason::ClientEnded,
-            How::Broken => CloseReason::ClientReset,
+            CloseKind::Graceful => CloseReason::ClientEnded,
+            CloseKind::Abortive => CloseReason::ClientReset,
         };
         self.close_all(now, key, how, why);
     }
@@ -261,11 +261,11 @@
         debug!("{}: is told {}, {why}", self.sessions[key].who(), said.trim_end());
         self.counters.answers.count(why.name());
         self.part(now, key);
-        self.end_legs(now, key, How::Closed);
+        self.end_legs(now, key, CloseKind::Graceful);
         if !text.is_empty() {
-            self.effects.push(Effect::Text(End::Client(key), text));
+            self.effects.push(Effect::Write(Endpoint::Client(key), text));
         }
-        self.effects.push(Effect::Finish(End::Client(key)));
+        self.effects.push(Effect::ShutdownWrite(Endpoint::Client(key)));
     }
 
     /// From here on only what is on its way still matters.
@@ -297,7 +297,7 @@
     }
 
     /// Closes what a session still has open, and gives its slot back.
-    pub(super) fn close_all(&mut self, now: f64, key: usize, how: How, why: CloseReason) {
+    pub(super) fn close_all(&mut self, now: f64, key: usize, how: CloseKind, why: CloseReason) {
         let owed = self.owed(key, why);
         self.guard.closes(owed, &self.sessions[key].who());
         debug!("{}: is closed, {why}", self.sessions[key].who());
@@ -311,7 +311,7 @@
         for timer in session.timer.take().into_iter().chain(session.wake.take()) {
             self.timers.cancel(timer);
         }
-        self.effects.push(Effect::Close(End::Client(key), how));
+        self.effects.push(Effect::Close(Endpoint::Client(key), how));
         self.descriptors.used -= 1;
         self.weigh(now);
     }
--- a/crates/dewhead-proxy/src/reducer/legs.rs
+++ b/crates/dewhead-proxy/src/reducer/legs.rs
@@ -1,6 +1,6 @@
 //! Legs: dialled, asked, answered, ended.
 
-use super::{Due, Effect, End, How, Reducer, SETUPS, TO_REFUSE};
+use super::{CloseKind, Due, Effect, Endpoint, Reducer, SETUPS, TO_REFUSE};
 use crate::guard::cold_start::Carried;
 use crate::guard::{Repeating, Sending, Sent};
 use crate::memory::counters::{AnswerReason, CloseReason};
@@ -150,7 +150,7 @@
         self.sessions[key].legs.push((number, leg));
         debug!("{}: leg {number} to server {server:x}, for {:.3} s", self.sessions[key].who(), until - now);
         self.descriptors.used += 1;
-        self.effects.push(Effect::Dial(leg, to));
+        self.effects.push(Effect::Connect(leg, to));
         true
     }
 
@@ -158,7 +158,7 @@
     pub(super) fn refused(&mut self, now: f64, leg: usize) {
         match self.legs.get(leg).map(|out| out.stage) {
             Some(LegStage::Queued | LegStage::Connecting) => self.leg_failed(now, leg, Ending::Unreachable),
-            Some(_) => self.server_closed(now, leg, How::Broken),
+            Some(_) => self.server_closed(now, leg, CloseKind::Abortive),
             None => {}
         }
     }
@@ -184,7 +184,7 @@
         out.stage = LegStage::Connecting;
         out.timer = Some(self.timers.set(out.up_by, Due::Leg(leg)));
         let to = out.to;
-        self.effects.push(Effect::Dial(leg, to));
+        self.effects.push(Effect::Connect(leg, to));
     }
 
     /// A connection that could not be put back is tried again, until its client has waited long enough.
@@ -212,9 +212,9 @@
         }
         let out = &self.legs[leg];
         let session = &self.sessions[out.session];
-        let wait = session.wait.clone();
-        let figure = ((out.until - now) * 1000.0).max(1.0) as u64;
-        self.effects.push(Effect::Head { leg, session: out.session, wait, figure });
+        let timeout_range = session.wait.clone();
+        let timeout_ms = ((out.until - now) * 1000.0).max(1.0) as u64;
+        self.effects.push(Effect::SendHead { leg, session: out.session, timeout_range, timeout_ms });
     }
 
     pub(super) fn server_said(&mut self, now: f64, leg: usize, bytes: &[u8]) {
@@ -242,7 +242,7 @@
                 }
             }
             LegStage::Standing => self.pass_down(now, leg, bytes),
-            LegStage::Parting => self.effects.push(Effect::Pass(End::Client(key), 0..bytes.len())),
+            LegStage::Parting => self.effects.push(Effect::Forward(Endpoint::Client(key), 0..bytes.len())),
         }
     }
 
@@ -269,7 +269,7 @@
         let (traffic, fresh) = (session.traffic, session.sent > 0);
         let others: Vec<usize> = session.legs.iter().map(|(_, l)| *l).filter(|l| *l != leg).collect();
         for other in others {
-            self.end_leg(now, other, Ending::Cancelled, false, How::Broken);
+            self.end_leg(now, other, Ending::Cancelled, false, CloseKind::Abortive);
         }
         self.replace_timer(key, None);
         self.replace_wake(key, None);
@@ -286,16 +286,16 @@
             self.messages_take(now, leg, SETUPS, slower * self.slow_unit);
         }
         self.watch_lines(now, leg, &said);
-        self.effects.push(Effect::Text(End::Client(key), said));
+        self.effects.push(Effect::Write(Endpoint::Client(key), said));
     }
 
-    pub(super) fn server_closed(&mut self, now: f64, leg: usize, how: How) {
+    pub(super) fn server_closed(&mut self, now: f64, leg: usize, how: CloseKind) {
         let Some(out) = self.legs.get(leg) else { return };
         let (key, farewell) = (out.session, out.farewell);
         match out.stage {
             LegStage::Queued | LegStage::Connecting => self.leg_failed(now, leg, Ending::Unreachable),
             LegStage::Asked => self.leg_failed(now, leg, Ending::Broken),
-            LegStage::Parting => self.close_all(now, key, How::Closed, CloseReason::ServerEnded),
+            LegStage::Parting => self.close_all(now, key, CloseKind::Graceful, CloseReason::ServerEnded),
             LegStage::Standing => {
                 if farewell.is_none() && self.sessions[key].down.between() {
                     // Lost without a word: its client comes again sooner when told to than when cut off.
@@ -305,8 +305,10 @@
                 self.end_leg(now, leg, ending, true, how);
                 self.part(now, key);
                 match how {
-                    How::Closed => self.effects.push(Effect::Finish(End::Client(key))),
-                    How::Broken => self.close_all(now, key, How::Broken, CloseReason::ServerReset),
+                    CloseKind::Graceful => self.effects.push(Effect::ShutdownWrite(Endpoint::Client(key))),
+                    CloseKind::Abortive => {
+                        self.close_all(now, key, CloseKind::Abortive, CloseReason::ServerReset)
+                    }
                 }
             }
         }
@@ -317,7 +319,7 @@
         let Some(out) = self.legs.get(leg) else { return };
         let key = out.session;
         let returning = self.sessions[key].stage == Stage::Returning;
-        self.end_leg(now, leg, ending, false, How::Broken);
+        self.end_leg(now, leg, ending, false, CloseKind::Abortive);
         if returning {
             self.again(now, key);
         }
@@ -337,7 +339,7 @@
     }
 
     /// The one place where a leg is given back, with its timer, its buffer and its socket.
-    pub(super) fn end_leg(&mut self, now: f64, leg: usize, ending: Ending, last: bool, how: How) {
+    pub(super) fn end_leg(&mut self, now: f64, leg: usize, ending: Ending, last: bool, how: CloseKind) {
         self.tell_leg_ended(now, leg, ending, last);
         let out = self.legs.remove(leg);
         self.counters.endings.count(ending_name(ending));
@@ -352,12 +354,12 @@
             self.timers.cancel(timer);
         }
         self.sessions[out.session].legs.retain(|(_, l)| *l != leg);
-        self.effects.push(Effect::Close(End::Server(leg), how));
+        self.effects.push(Effect::Close(Endpoint::Server(leg), how));
         self.descriptors.used -= 1;
         self.weigh(now);
     }
 
-    pub(super) fn end_legs(&mut self, now: f64, key: usize, how: How) {
+    pub(super) fn end_legs(&mut self, now: f64, key: usize, how: CloseKind) {
         while let Some((_, leg)) = self.sessions[key].legs.first().copied() {
             self.end_leg(now, leg, Ending::Cancelled, true, how);
         }
--- a/crates/dewhead-proxy/src/reducer/standing.rs
+++ b/crates/dewhead-proxy/src/reducer/standing.rs
@@ -1,6 +1,6 @@
 //! Standing connections: lines pass and are read along, and clients are sent away politely.
 
-use super::{Effect, End, How, Reducer, LINES, LINE_ENDS, MOST_SILENT, TELL_AGAIN};
+use super::{CloseKind, Effect, Endpoint, Reducer, LINES, LINE_ENDS, MOST_SILENT, TELL_AGAIN};
 use crate::memory::counters::{AnswerReason, CloseReason};
 use crate::memory::sessions::Stage;
 use crate::wire::answers::{self, word, Word};
@@ -17,7 +17,7 @@
             bytes = &bytes[..end];
         }
         self.watch_lines(now, leg, bytes);
-        self.effects.push(Effect::Pass(End::Client(key), 0..bytes.len()));
+        self.effects.push(Effect::Forward(Endpoint::Client(key), 0..bytes.len()));
         let session = &self.sessions[key];
         if let Some(ending) = session.moving.filter(|_| session.down.between()) {
             self.move_away(now, key, ending);
@@ -87,7 +87,7 @@
             }
             return;
         }
-        self.end_leg(now, leg, ending, true, How::Closed);
+        self.end_leg(now, leg, ending, true, CloseKind::Graceful);
         self.answer(now, key, answers::MOVE.to_vec(), AnswerReason::Moved);
     }
 
@@ -95,8 +95,8 @@
         let session = &self.sessions[key];
         match session.stage {
             Stage::Greeting if !session.head.is_empty() => self.misunderstood(now, key),
-            Stage::Greeting => self.close_all(now, key, How::Closed, CloseReason::FirstLineOverdue),
-            Stage::Parting => self.close_all(now, key, How::Broken, CloseReason::Lingered),
+            Stage::Greeting => self.close_all(now, key, CloseKind::Graceful, CloseReason::FirstLineOverdue),
+            Stage::Parting => self.close_all(now, key, CloseKind::Abortive, CloseReason::Lingered),
             Stage::Waiting => {}
             Stage::Returning => {
                 if let Some((server, wanted)) = &session.returning {
@@ -112,7 +112,7 @@
                 (Some(ending), _) => {
                     // Its server stopped within a line, so there is no place for a word.
                     if let Some(leg) = session.bound() {
-                        self.end_leg(now, leg, ending, true, How::Broken);
+                        self.end_leg(now, leg, ending, true, CloseKind::Abortive);
                     }
                     self.answer(now, key, Vec::new(), AnswerReason::LineNeverEnded);
                 }
--- a/crates/dewhead-proxy/src/reducer/status.rs
+++ b/crates/dewhead-proxy/src/reducer/status.rs
@@ -67,12 +67,12 @@
     }
 
     /// The process ends before the one whose place it took, whose clients may not have been told to move.
-    pub fn leaves_predecessor(&mut self) {
+    pub fn record_predecessor_left(&mut self) {
         self.guard.violated(Violation::PredecessorLeft, &"the process whose place was taken");
     }
 
     /// The process ends: who is still owed something is counted, and all counts are told in the log.
-    pub fn end(&mut self) {
+    pub fn record_process_end(&mut self) {
         let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
         for key in keys {
             let owed = self.owed(key, CloseReason::ProcessEnded);
--- a/crates/dewhead-proxy/src/reducer/stopping.rs
+++ b/crates/dewhead-proxy/src/reducer/stopping.rs
@@ -22,13 +22,13 @@
         info!("stopping: {} sessions are open", self.sessions.len());
         self.stops = true;
         self.ends = true;
-        self.spread = self.usual_spread();
+        self.spread = self.default_drain_spread();
         self.send_all_away(now);
         self.end_after(now, self.longest_guard.min(WAITED_FOR));
     }
 
     /// How long a stop that a signal has asked for takes at the most, in seconds.
-    pub fn stop_takes(&self) -> f64 {
+    pub fn max_stop_duration(&self) -> f64 {
         self.longest_guard.min(WAITED_FOR) + ENDED
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Whether nothing is open and nobody comes any more, or time is up.
-    pub fn is_over(&self, now: f64) -> bool {
+    pub fn is_finished(&self, now: f64) -> bool {
         let all_came = self.stopping.is_some_and(|at| now >= at + STILL_COMING);
         self.time_is_up || (self.ends && all_came && self.sessions.is_empty())
     }
@@ -102,7 +102,7 @@
     }
 
     /// Over how long clients are sent away where nobody says.
-    pub fn usual_spread(&self) -> f64 {
+    pub fn default_drain_spread(&self) -> f64 {
         0.5 * self.longest_guard.min(WAITED_FOR)
     }
 
--- a/crates/dewhead-proxy/src/reducer/succession.rs
+++ b/crates/dewhead-proxy/src/reducer/succession.rs
@@ -11,14 +11,14 @@
 
 impl Reducer {
     /// The list and what was learned, each with its age.
-    pub fn hand_on(&self, now: f64) -> Value {
+    pub fn export_state(&self, now: f64) -> Value {
         let list = self.watch.entries.list(self.watch.version);
         let paces = self.servers.0.iter().map(|(id, server)| (*id, &server.pace));
         known::write(now, list, &self.balancer.learned(now), paces, &self.kinds)
     }
 
     /// Takes up what another process has learned: of servers that are listed and have not started anew.
-    pub fn take_up(&mut self, now: f64, handed: &Handed) {
+    pub fn import_state(&mut self, now: f64, handed: &Handed) {
         let ago = (now - handed.at).max(0.0);
         if ago > USE * self.longest_guard {
             return info!("what was handed on is {ago:.0} s old and left aside");
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -71,7 +71,7 @@
         if self.watch.answer.is_none() {
             self.watch.pausing = false;
             (self.watch.asked_at, self.watch.told, self.watch.came) = (now, false, 0);
-            self.effects.push(Effect::Follow(self.watch.discovery, self.watch.version));
+            self.effects.push(Effect::OpenWatch(self.watch.discovery, self.watch.version));
             self.watch_within(now + WATCH_OPENS);
         }
     }
@@ -230,7 +230,7 @@
         }
         // A list that is too long is so again: it would be written over and over.
         self.watch.turned_away = matches!(fault, TURNED_AWAY | TOO_LONG);
-        self.effects.push(Effect::Unfollow);
+        self.effects.push(Effect::CloseWatch);
         self.ask_later(now);
     }
 
--- a/crates/dewhead-proxy/src/turn.rs
+++ b/crates/dewhead-proxy/src/turn.rs
@@ -12,7 +12,7 @@
 use crate::lifecycle::signals::Flags;
 use crate::lifecycle::stages::{Act, Life, Told};
 use crate::memory::links::Link;
-use crate::reducer::{Effect, End, Event, How, Reducer};
+use crate::reducer::{CloseKind, Effect, Endpoint, Event, Reducer};
 use crate::transient::{is_transient, persist};
 use crate::wire::http;
 use log::{debug, error, info};
@@ -44,7 +44,7 @@
 const REREAD_FOR: f64 = 3.0;
 
 /// Reads the configuration again, and says in the log what is wrong with it unless told to be quiet. What of it changes
-/// while the proxy runs, as `Event::Renewed` has it; none while it can't be read.
+/// while the proxy runs, as `Event::Reconfigured` has it; none while it can't be read.
 pub type Renewed = Box<dyn FnMut(Report) -> Option<(SocketAddr, usize)>>;
 
 /// Whether a fault in the configuration is told in the log.
@@ -116,22 +116,22 @@
     /// Told once in the log, until one is accepted again.
     accept_failed: bool,
     /// Sockets that broke while written to, and ones that still have bytes.
-    broken: VecDeque<End>,
-    again: VecDeque<End>,
+    broken: VecDeque<Endpoint>,
+    again: VecDeque<Endpoint>,
     scratch: Vec<u8>,
     exit: bool,
 }
 
-fn token(end: End) -> Token {
+fn token(end: Endpoint) -> Token {
     match end {
-        End::Client(slot) => Token(FIRST + 2 * slot),
-        End::Server(slot) => Token(FIRST + 2 * slot + 1),
+        Endpoint::Client(slot) => Token(FIRST + 2 * slot),
+        Endpoint::Server(slot) => Token(FIRST + 2 * slot + 1),
     }
 }
 
-fn end_of(token: Token) -> Option<End> {
+fn end_of(token: Token) -> Option<Endpoint> {
     let at = token.0.checked_sub(FIRST)?;
-    Some(if at % 2 == 0 { End::Client(at / 2) } else { End::Server(at / 2) })
+    Some(if at % 2 == 0 { Endpoint::Client(at / 2) } else { Endpoint::Server(at / 2) })
 }
 
 fn empty(told: &mut UnixStream) {
@@ -195,7 +195,7 @@
         let now = self.clock.now();
         let mut unticked = 0;
         self.apply(now, &[]);
-        self.live(now, Told::List(self.reducer.holds_list()));
+        self.live(now, Told::List(self.reducer.has_server_list()));
         self.live(now, Told::Listens);
         while !self.exit {
             self.notify.turn(self.clock.now());
@@ -218,7 +218,7 @@
             }
             let now = self.clock.now();
             // Whoever was due and was not looked at tells that nobody was.
-            self.reducer.looked(looked_at, due.map_or(0.0, |at| (now - at).max(0.0)));
+            self.reducer.set_poll_times(looked_at, due.map_or(0.0, |at| (now - at).max(0.0)));
             if let Some(event) = events.iter().find(|e| e.token() == WATCH) {
                 self.watch_ready(now, event.is_writable());
             }
@@ -283,11 +283,11 @@
             }
             if self.exit {
                 self.empty_queue(now);
-                self.exit = self.reducer.is_over(self.clock.now());
+                self.exit = self.reducer.is_finished(self.clock.now());
             }
         }
         self.leave_predecessor();
-        self.reducer.end();
+        self.reducer.record_process_end();
         self.live(self.clock.now(), Told::Over);
         info!("stopped");
         Ok(())
@@ -298,7 +298,7 @@
             // What it sent before it broke still counts, above all a last word.
             self.read(now, end);
             if self.link(end).is_some_and(|l| !l.ended) {
-                self.tell(now, Event::Closed(end, How::Broken), &[]);
+                self.tell(now, Event::Closed(end, CloseKind::Abortive), &[]);
             }
         }
     }
@@ -336,7 +336,7 @@
     /// Reads the configuration and goes by it; false where it can't be read.
     fn renew(&mut self, now: f64, report: Report) -> bool {
         let Some((discovery, most)) = (self.renewed)(report) else { return false };
-        self.tell(now, Event::Renewed(discovery, most), &[]);
+        self.tell(now, Event::Reconfigured(discovery, most), &[]);
         true
     }
 
@@ -347,14 +347,14 @@
         self.reread = (!done).then_some(Reread { at: now + REREAD_PAUSE, ..again });
     }
 
-    fn link(&mut self, end: End) -> Option<&mut Link> {
+    fn link(&mut self, end: Endpoint) -> Option<&mut Link> {
         match end {
-            End::Client(slot) => self.clients.get_mut(slot)?.as_mut(),
-            End::Server(slot) => self.servers.get_mut(slot)?.as_mut(),
+            Endpoint::Client(slot) => self.clients.get_mut(slot)?.as_mut(),
+            Endpoint::Server(slot) => self.servers.get_mut(slot)?.as_mut(),
         }
     }
 
-    fn ready(&mut self, now: f64, end: End, readable: bool) {
+    fn ready(&mut self, now: f64, end: Endpoint, readable: bool) {
         let Some(link) = self.link(end) else { return };
         if link.connecting {
             match link.socket.take_error() {
@@ -364,7 +364,7 @@
             match link.socket.peer_addr() {
                 Ok(_) => {
                     link.connecting = false;
-                    if let End::Server(leg) = end {
+                    if let Endpoint::Server(leg) = end {
                         self.connected(now, leg);
                     }
                 }
@@ -386,24 +386,24 @@
             self.read(now, client);
         }
         // The leg may have ended by that, and its slot be another's, which is not up.
-        if self.link(End::Server(leg)).is_some_and(|l| !l.connecting) {
+        if self.link(Endpoint::Server(leg)).is_some_and(|l| !l.connecting) {
             self.tell(now, Event::Connected(leg), &[]);
         }
     }
 
-    fn refused(&mut self, now: f64, end: End) {
-        if let End::Server(leg) = end {
-            self.tell(now, Event::Refused(leg), &[]);
+    fn refused(&mut self, now: f64, end: Endpoint) {
+        if let Endpoint::Server(leg) = end {
+            self.tell(now, Event::ConnectFailed(leg), &[]);
         }
     }
 
-    fn flush(&mut self, now: f64, end: End) {
+    fn flush(&mut self, now: f64, end: Endpoint) {
         let Some(link) = self.link(end) else { return };
         if link.is_clear() {
             return;
         }
         // The rest of a head goes out only for a client that is still there.
-        if let Some(client) = link.asking.then_some(end).and_then(|e| self.reducer.other(e)) {
+        if let Some(client) = link.asking.then_some(end).and_then(|e| self.reducer.peer_of(e)) {
             self.read(now, client);
         }
         let Some(link) = self.link(end) else { return };
@@ -411,12 +411,12 @@
             Ok(false) => {}
             Ok(true) => {
                 if std::mem::take(&mut link.asking) {
-                    if let End::Server(leg) = end {
+                    if let Endpoint::Server(leg) = end {
                         self.tell(now, Event::HeadWritten(leg), &[]);
                     }
                 }
                 // What came from the other side meanwhile was left there.
-                let other = self.reducer.other(end);
+                let other = self.reducer.peer_of(end);
                 if let Some(other) = other.filter(|o| self.link(*o).is_some_and(|l| l.readable)) {
                     self.read(now, other);
                 }
@@ -425,12 +425,12 @@
         }
     }
 
-    fn read(&mut self, now: f64, end: End) {
+    fn read(&mut self, now: f64, end: Endpoint) {
         let mut scratch = std::mem::take(&mut self.scratch);
         // One that stands nowhere has little to say; one that says more waits for the others after each piece.
-        let reads = if self.reducer.other(end).is_some() { READS } else { 1 };
+        let reads = if self.reducer.peer_of(end).is_some() { READS } else { 1 };
         for _ in 0..reads {
-            let other = self.reducer.other(end);
+            let other = self.reducer.peer_of(end);
             let full = other.is_some_and(|o| self.link(o).is_some_and(|l| !l.is_clear()));
             let Some(link) = self.link(end).filter(|l| !l.ended && !l.connecting) else {
                 self.scratch = scratch;
@@ -443,7 +443,7 @@
             match link.socket.read(&mut scratch) {
                 Ok(0) => {
                     link.ended = true;
-                    self.tell(now, Event::Closed(end, How::Closed), &[]);
+                    self.tell(now, Event::Closed(end, CloseKind::Graceful), &[]);
                     break;
                 }
                 Ok(n) => self.tell(now, Event::Bytes(end, &scratch[..n]), &scratch[..n]),
@@ -454,7 +454,7 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
                     link.ended = true;
-                    self.tell(now, Event::Closed(end, How::Broken), &[]);
+                    self.tell(now, Event::Closed(end, CloseKind::Abortive), &[]);
                     break;
                 }
             }
@@ -467,7 +467,7 @@
 
     fn watch_ready(&mut self, now: f64, writable: bool) {
         if let Some(ahead) = self.clock.wall_ahead() {
-            self.reducer.wall_clock_is_ahead(ahead);
+            self.reducer.observe_wall_clock(ahead);
         }
         let Some(link) = self.watch.as_mut() else { return };
         if link.connecting {
@@ -481,14 +481,14 @@
             if link.flush().is_err() {
                 return self.lose_watch(now);
             }
-            self.tell(now, Event::WatchOpen, &[]);
+            self.tell(now, Event::WatchOpened, &[]);
         }
         let mut scratch = std::mem::take(&mut self.scratch);
         // One that was opened in its place meanwhile has not come up.
         while let Some(link) = self.watch.as_mut().filter(|l| !l.connecting) {
             match link.socket.read(&mut scratch) {
                 Ok(0) => self.lose_watch(now),
-                Ok(n) => self.tell(now, Event::Watch(&scratch[..n]), &[]),
+                Ok(n) => self.tell(now, Event::WatchBytes(&scratch[..n]), &[]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => self.lose_watch(now),
@@ -517,53 +517,53 @@
     }
 
     fn tell(&mut self, now: f64, event: Event, bytes: &[u8]) {
-        let news = matches!(event, Event::Watch(_));
+        let news = matches!(event, Event::WatchBytes(_));
         self.reducer.step(now, event);
         self.apply(now, bytes);
         if news {
-            self.live(now, Told::List(self.reducer.holds_list()));
+            self.live(now, Told::List(self.reducer.has_server_list()));
         }
     }
 
     /// Carries out what the reducer asks for; `bytes` are those of the event.
     fn apply(&mut self, now: f64, bytes: &[u8]) {
-        for effect in self.reducer.effects() {
+        for effect in self.reducer.take_effects() {
             match effect {
-                Effect::Admit(slot) => self.admit(now, slot),
-                Effect::Dial(leg, to) => self.dial(now, leg, to),
-                Effect::Head { leg, session, wait, figure } => {
-                    self.write_head(now, leg, session, wait, figure)
+                Effect::AssignSession(slot) => self.admit(now, slot),
+                Effect::Connect(leg, to) => self.dial(now, leg, to),
+                Effect::SendHead { leg, session, timeout_range, timeout_ms } => {
+                    self.write_head(now, leg, session, timeout_range, timeout_ms)
                 }
-                Effect::Pass(end, range) => self.write(end, &[&bytes[range]]),
-                Effect::Text(end, text) => self.write(end, &[&text]),
-                Effect::Finish(end) => {
+                Effect::Forward(end, range) => self.write(end, &[&bytes[range]]),
+                Effect::Write(end, text) => self.write(end, &[&text]),
+                Effect::ShutdownWrite(end) => {
                     if let Some(link) = self.link(end) {
                         link.finish();
                     }
                 }
                 Effect::Close(end, how) => {
                     let place = match end {
-                        End::Client(slot) => self.clients.get_mut(slot),
-                        End::Server(slot) => self.servers.get_mut(slot),
+                        Endpoint::Client(slot) => self.clients.get_mut(slot),
+                        Endpoint::Server(slot) => self.servers.get_mut(slot),
                     };
                     // The slot may be another's before these are looked at.
                     self.broken.retain(|e| *e != end);
                     self.again.retain(|e| *e != end);
                     if let Some(link) = place.and_then(Option::take) {
-                        if how == How::Broken {
+                        if how == CloseKind::Abortive {
                             link.abort();
                         }
                     }
                 }
-                Effect::Accepting(on) => self.accepting = on,
-                Effect::Follow(discovery, since) => self.follow(now, discovery, since),
-                Effect::Unfollow => self.watch = None,
+                Effect::SetAccepting(on) => self.accepting = on,
+                Effect::OpenWatch(discovery, since) => self.follow(now, discovery, since),
+                Effect::CloseWatch => self.watch = None,
                 Effect::Exit => self.exit = true,
             }
         }
     }
 
-    fn keep(&mut self, end: End, mut socket: TcpStream, connecting: bool) {
+    fn keep(&mut self, end: Endpoint, mut socket: TcpStream, connecting: bool) {
         let _ = socket.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
         if let Err(e) = self.poll.registry().register(&mut socket, token(end), interest) {
@@ -571,8 +571,8 @@
             self.broken.push_back(end);
         }
         let (places, slot) = match end {
-            End::Client(slot) => (&mut self.clients, slot),
-            End::Server(slot) => (&mut self.servers, slot),
+            Endpoint::Client(slot) => (&mut self.clients, slot),
+            Endpoint::Server(slot) => (&mut self.servers, slot),
         };
         if places.len() <= slot {
             places.resize_with(slot + 1, || None);
@@ -582,19 +582,19 @@
 
     fn dial(&mut self, now: f64, leg: usize, to: SocketAddr) {
         match TcpStream::connect(to) {
-            Ok(socket) => self.keep(End::Server(leg), socket, true),
+            Ok(socket) => self.keep(Endpoint::Server(leg), socket, true),
             Err(e) if is_transient(&e) => {
                 debug!("dialling {to}, for now: {e}");
-                self.tell(now, Event::NotDialled(leg), &[]);
+                self.tell(now, Event::ConnectNotStarted(leg), &[]);
             }
             Err(e) => {
                 debug!("dialling {to}: {e}");
-                self.tell(now, Event::Refused(leg), &[]);
+                self.tell(now, Event::ConnectFailed(leg), &[]);
             }
         }
     }
 
-    fn write(&mut self, end: End, parts: &[&[u8]]) {
+    fn write(&mut self, end: Endpoint, parts: &[&[u8]]) {
         let Some(link) = self.link(end) else { return };
         if link.write(parts).is_err() {
             self.broken.push_back(end);
@@ -611,7 +611,7 @@
         figure: u64,
     ) {
         let digits = figure.to_string();
-        let head = self.reducer.head(session);
+        let head = self.reducer.session_head(session);
         let Some(link) = self.servers.get_mut(leg).and_then(Option::as_mut) else { return };
         let outcome = if wait.is_empty() {
             link.write(&[head])
@@ -622,7 +622,7 @@
         match outcome {
             Ok(()) if link.asking => {}
             Ok(()) => self.tell(now, Event::HeadWritten(leg), &[]),
-            Err(_) => self.tell(now, Event::Closed(End::Server(leg), How::Broken), &[]),
+            Err(_) => self.tell(now, Event::Closed(Endpoint::Server(leg), CloseKind::Abortive), &[]),
         }
     }
 }
--- a/crates/dewhead-proxy/src/turn/accept.rs
+++ b/crates/dewhead-proxy/src/turn/accept.rs
@@ -1,7 +1,7 @@
 //! Accepting clients, and the queue of those not accepted yet when the process ends.
 
 use super::Turn;
-use crate::reducer::{End, Event, How};
+use crate::reducer::{CloseKind, Endpoint, Event};
 use log::warn;
 use std::io;
 use std::time::Duration;
@@ -26,7 +26,7 @@
             std::thread::sleep(LAST_PAUSE);
         }
         for slot in 0..self.clients.len() {
-            self.read(now, End::Client(slot));
+            self.read(now, Endpoint::Client(slot));
         }
     }
 
@@ -63,8 +63,8 @@
 
     pub(super) fn admit(&mut self, now: f64, slot: usize) {
         match self.fresh.take() {
-            Some(socket) => self.keep(End::Client(slot), socket, false),
-            None => self.tell(now, Event::Closed(End::Client(slot), How::Broken), &[]),
+            Some(socket) => self.keep(Endpoint::Client(slot), socket, false),
+            None => self.tell(now, Event::Closed(Endpoint::Client(slot), CloseKind::Abortive), &[]),
         }
     }
 }
--- a/crates/dewhead-proxy/src/turn/control.rs
+++ b/crates/dewhead-proxy/src/turn/control.rs
@@ -86,7 +86,7 @@
         let (Some(listener), Some(socket)) = (&self.listener, &mut self.control_socket) else {
             return Err("there is no listening socket to hand on".to_owned());
         };
-        let answer = words::answer(Ok(serde_json::json!({"handed": self.reducer.hand_on(now)})));
+        let answer = words::answer(Ok(serde_json::json!({"handed": self.reducer.export_state(now)})));
         socket
             .answer_with(place, &answer, listener.as_fd())
             .map_err(|e| format!("the socket can't be handed on: {e}"))?;
@@ -116,7 +116,7 @@
             socket.close_listener(self.poll.registry());
         }
         self.live(now, Told::Succeeded);
-        let spread = seconds.unwrap_or_else(|| self.reducer.usual_spread());
+        let spread = seconds.unwrap_or_else(|| self.reducer.default_drain_spread());
         self.tell(now, Event::Retire(spread), &[]);
         Ok(serde_json::json!({"stage": self.life.stage().name()}))
     }
@@ -140,7 +140,7 @@
                     return Err(refused(stage));
                 }
                 self.live(now, Told::Drain);
-                let spread = seconds.unwrap_or_else(|| self.reducer.usual_spread());
+                let spread = seconds.unwrap_or_else(|| self.reducer.default_drain_spread());
                 self.tell(now, Event::Drain(spread), &[]);
             }
             Request::Undrain => {
--- a/crates/dewhead-proxy/src/turn/predecessor.rs
+++ b/crates/dewhead-proxy/src/turn/predecessor.rs
@@ -34,7 +34,7 @@
 
     /// This process has been told to stop, and so it is.
     pub(super) fn stop_predecessor(&mut self, now: f64) {
-        self.predecessor_ends_by = Some(now + self.reducer.stop_takes() + LATER);
+        self.predecessor_ends_by = Some(now + self.reducer.max_stop_duration() + LATER);
         if let Some(predecessor) = &mut self.predecessor {
             predecessor.stop();
         }
@@ -48,7 +48,7 @@
     /// This process ends; one that is left behind may be killed with clients that were not told to move.
     pub(super) fn leave_predecessor(&mut self) {
         if self.predecessor.take().is_some() {
-            self.reducer.leaves_predecessor();
+            self.reducer.record_predecessor_left();
         }
     }
 }
--- a/crates/dewhead-proxy/tests/common/mod.rs
+++ b/crates/dewhead-proxy/tests/common/mod.rs
@@ -6,7 +6,7 @@
 pub mod loopback;
 pub mod processes;
 
-use dewhead_proxy::reducer::{Effect, End, Event, How, Reducer};
+use dewhead_proxy::reducer::{CloseKind, Effect, Endpoint, Event, Reducer};
 use dewhead_startup::Startup;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
 pub struct Client {
     pub got: Vec<u8>,
     pub finished: bool,
-    pub closed: Option<How>,
+    pub closed: Option<CloseKind>,
 }
 
 #[derive(Default)]
@@ -135,18 +135,18 @@
     /// Discovery opens the watch and writes this first.
     pub fn watch(&mut self, told: &str) {
         self.watching = true;
-        self.tell(Event::WatchOpen);
-        self.tell(Event::Watch(format!("HTTP/1.1 200 OK\r\n\r\n{told}\n").as_bytes()));
+        self.tell(Event::WatchOpened);
+        self.tell(Event::WatchBytes(format!("HTTP/1.1 200 OK\r\n\r\n{told}\n").as_bytes()));
     }
 
-    fn say(&mut self, end: End, text: &[u8]) {
+    fn say(&mut self, end: Endpoint, text: &[u8]) {
         match end {
-            End::Client(slot) => {
+            Endpoint::Client(slot) => {
                 let client = self.clients.get_mut(&slot).expect("a client that is open");
                 assert!(!client.finished, "a word after the last one");
                 client.got.extend_from_slice(text);
             }
-            End::Server(slot) => {
+            Endpoint::Server(slot) => {
                 let server = self.servers.get_mut(&slot).expect("a leg that is out");
                 assert!(!server.finished, "a line after the end");
                 server.got.extend_from_slice(text);
@@ -155,50 +155,54 @@
     }
 
     fn apply(&mut self, bytes: &[u8]) {
-        for effect in self.reducer.effects() {
+        for effect in self.reducer.take_effects() {
             match effect {
-                Effect::Admit(slot) => {
+                Effect::AssignSession(slot) => {
                     self.admitted = Some(slot);
                     assert!(self.clients.insert(slot, Client::default()).is_none(), "a slot given twice");
                 }
-                Effect::Dial(leg, to) => {
+                Effect::Connect(leg, to) => {
                     let to = usize::from(to.port());
                     self.dialled.push(to);
                     let fresh = Server { to, ..Server::default() };
                     assert!(self.servers.insert(leg, fresh).is_none(), "a slot given twice");
                 }
-                Effect::Head { leg, session, wait, figure } => {
-                    let head = self.reducer.head(session);
-                    let text =
-                        [&head[..wait.start], figure.to_string().as_bytes(), &head[wait.end..]].concat();
-                    self.say(End::Server(leg), &text);
+                Effect::SendHead { leg, session, timeout_range, timeout_ms } => {
+                    let head = self.reducer.session_head(session);
+                    let text = [
+                        &head[..timeout_range.start],
+                        timeout_ms.to_string().as_bytes(),
+                        &head[timeout_range.end..],
+                    ]
+                    .concat();
+                    self.say(Endpoint::Server(leg), &text);
                     assert!(self.clients.contains_key(&session), "a head for a client that is gone");
                     self.heads.push((session, leg, self.servers[&leg].to));
-                    self.servers.get_mut(&leg).unwrap().figure = figure;
+                    self.servers.get_mut(&leg).unwrap().figure = timeout_ms;
                 }
-                Effect::Pass(end, range) => self.say(end, &bytes[range]),
-                Effect::Text(end, text) => self.say(end, &text),
-                Effect::Finish(End::Client(slot)) => {
+                Effect::Forward(end, range) => self.say(end, &bytes[range]),
+                Effect::Write(end, text) => self.say(end, &text),
+                Effect::ShutdownWrite(Endpoint::Client(slot)) => {
                     self.clients.get_mut(&slot).expect("open").finished = true
                 }
-                Effect::Finish(End::Server(slot)) => {
+                Effect::ShutdownWrite(Endpoint::Server(slot)) => {
                     self.servers.get_mut(&slot).expect("open").finished = true
                 }
-                Effect::Close(End::Client(slot), how) => {
+                Effect::Close(Endpoint::Client(slot), how) => {
                     let mut client = self.clients.remove(&slot).expect("a client that is open");
                     client.closed = Some(how);
                     self.past.push(client);
                 }
-                Effect::Close(End::Server(slot), _) => {
+                Effect::Close(Endpoint::Server(slot), _) => {
                     drop(self.servers.remove(&slot).expect("a leg that is out"))
                 }
-                Effect::Accepting(on) => self.accepting = on,
-                Effect::Follow(at, since) => self.follows.push((at, since)),
-                Effect::Unfollow => self.watching = false,
+                Effect::SetAccepting(on) => self.accepting = on,
+                Effect::OpenWatch(at, since) => self.follows.push((at, since)),
+                Effect::CloseWatch => self.watching = false,
                 Effect::Exit => self.exit = true,
             }
         }
-        let (sessions, legs, used) = self.reducer.open();
+        let (sessions, legs, used) = self.reducer.open_counts();
         assert_eq!(legs, self.servers.len(), "a leg without its socket, or the other way round");
         assert_eq!(sessions, self.clients.len(), "a session without its socket, or the other way round");
         assert_eq!(used, sessions + legs, "descriptors are miscounted");
@@ -225,11 +229,11 @@
     }
 
     pub fn client_says(&mut self, slot: usize, text: &str) {
-        self.tell(Event::Bytes(End::Client(slot), text.as_bytes()));
+        self.tell(Event::Bytes(Endpoint::Client(slot), text.as_bytes()));
     }
 
     pub fn server_says(&mut self, leg: usize, text: &str) {
-        self.tell(Event::Bytes(End::Server(leg), text.as_bytes()));
+        self.tell(Event::Bytes(Endpoint::Server(leg), text.as_bytes()));
     }
 
     /// The newest leg out.
--- a/crates/dewhead-proxy/tests/handover.rs
+++ b/crates/dewhead-proxy/tests/handover.rs
@@ -165,15 +165,18 @@
 fn what_is_handed_on_is_taken_up_as_far_as_it_makes_sense() {
     let mut stand = common::Stand::ready(4);
     let (_, leg) = stand.standing();
-    stand.tell(Event::Closed(dewhead_proxy::reducer::End::Server(leg), dewhead_proxy::reducer::How::Broken));
-    let told = stand.reducer.hand_on(stand.now);
+    stand.tell(Event::Closed(
+        dewhead_proxy::reducer::Endpoint::Server(leg),
+        dewhead_proxy::reducer::CloseKind::Abortive,
+    ));
+    let told = stand.reducer.export_state(stand.now);
     let read = known::read(&told).expect("it is this version's");
     assert_eq!(read.list["hosts"].as_array().unwrap().len(), 4);
     assert!(!read.servers.is_empty());
     // Another process, with the list that was handed on.
     let mut next = common::Stand::new(256, read.list.clone());
-    next.reducer.take_up(next.now + 1.0, &read);
-    let again = known::read(&next.reducer.hand_on(next.now + 1.0)).unwrap();
+    next.reducer.import_state(next.now + 1.0, &read);
+    let again = known::read(&next.reducer.export_state(next.now + 1.0)).unwrap();
     let limits = |h: &known::Handed| {
         h.servers.iter().filter_map(|s| s.limit.map(|l| (s.server, l.0))).collect::<Vec<_>>()
     };
@@ -188,17 +191,17 @@
     bad["servers"].as_array_mut().unwrap().push(json!("x"));
     bad["paces"] = json!({"x": [], "7": [1e300, 0, 1, -5]});
     let mut other = common::Stand::new(256, read.list.clone());
-    other.reducer.take_up(other.now, &known::read(&bad).unwrap());
-    assert!(limits(&known::read(&other.reducer.hand_on(other.now)).unwrap()).is_empty());
+    other.reducer.import_state(other.now, &known::read(&bad).unwrap());
+    assert!(limits(&known::read(&other.reducer.export_state(other.now)).unwrap()).is_empty());
     let mut late = common::Stand::new(256, read.list.clone());
-    late.reducer.take_up(late.now + 1e4, &read);
-    assert!(limits(&known::read(&late.reducer.hand_on(late.now + 1e4)).unwrap()).is_empty());
+    late.reducer.import_state(late.now + 1e4, &read);
+    assert!(limits(&known::read(&late.reducer.export_state(late.now + 1e4)).unwrap()).is_empty());
     // A server that has started anew is unknown.
     let mut anew = read.list.clone();
     for host in anew["hosts"].as_array_mut().unwrap() {
         host["born_ms"] = json!(999_000);
     }
     let mut started = common::Stand::new(256, anew);
-    started.reducer.take_up(started.now, &read);
-    assert!(limits(&known::read(&started.reducer.hand_on(started.now)).unwrap()).is_empty());
+    started.reducer.import_state(started.now, &read);
+    assert!(limits(&known::read(&started.reducer.export_state(started.now)).unwrap()).is_empty());
 }
--- a/crates/dewhead-proxy/tests/interleavings.rs
+++ b/crates/dewhead-proxy/tests/interleavings.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{host, list, settings, Stand};
-use dewhead_proxy::reducer::{End, Event, How};
+use dewhead_proxy::reducer::{CloseKind, Endpoint, Event};
 use oorandom::Rand64;
 use quickcheck::{Gen, QuickCheck};
 use serde_json::json;
@@ -95,7 +95,7 @@
             self.version += 1;
             let line =
                 format!("OPEN {:016x} 7f3a9c21e0b4d655 c={kind},t=shop-a,d=1500\r\n", self.version << 8);
-            self.tell(Event::Bytes(End::Client(slot), line.as_bytes()), None);
+            self.tell(Event::Bytes(Endpoint::Client(slot), line.as_bytes()), None);
         }
     }
 
@@ -109,10 +109,10 @@
         let told = list(self.version, at.is_none(), hosts);
         if !self.stand.watching {
             self.stand.watching = true;
-            self.tell(Event::WatchOpen, None);
-            self.tell(Event::Watch(b"HTTP/1.1 200 OK\r\n\r\n"), None);
+            self.tell(Event::WatchOpened, None);
+            self.tell(Event::WatchBytes(b"HTTP/1.1 200 OK\r\n\r\n"), None);
         }
-        self.tell(Event::Watch(format!("{told}\n").as_bytes()), None);
+        self.tell(Event::WatchBytes(format!("{told}\n").as_bytes()), None);
     }
 }
 
@@ -138,11 +138,11 @@
         let client = one(play.stand.clients.keys().copied().collect());
         let leg = one(play.stand.servers.keys().copied().collect());
         let up = leg.filter(|l| play.asked.get(l).is_some_and(|a| a.whole));
-        let how = if dice.rand_float() < 0.5 { How::Closed } else { How::Broken };
+        let how = if dice.rand_float() < 0.5 { CloseKind::Graceful } else { CloseKind::Abortive };
         match (dice.rand_range(0..20), client, leg) {
             (0..=2, ..) => play.open(KINDS[dice.rand_range(0..3) as usize]),
-            (3, Some(client), _) => play.tell(Event::Closed(End::Client(client), how), None),
-            (4, Some(client), _) => play.tell(Event::Bytes(End::Client(client), b"M 1\r\n"), None),
+            (3, Some(client), _) => play.tell(Event::Closed(Endpoint::Client(client), how), None),
+            (4, Some(client), _) => play.tell(Event::Bytes(Endpoint::Client(client), b"M 1\r\n"), None),
             (5..=7, _, Some(leg)) => match play.asked.get(&leg).map(|a| a.whole) {
                 // The head's last byte may come later than its first.
                 None => play.tell(Event::Connected(leg), None),
@@ -154,17 +154,19 @@
             },
             (8 | 9, ..) => {
                 if let Some(leg) = up {
-                    play.tell(Event::Bytes(End::Server(leg), b"UP 1\r\nM 1\r\n"), None);
+                    play.tell(Event::Bytes(Endpoint::Server(leg), b"UP 1\r\nM 1\r\n"), None);
                 }
             }
             (10, _, Some(leg)) => {
                 let said = ["BUSY\r\n", "ERR\r\n", "MOVE\r\n", "UP 1\r\nBYE\r\n", "UP", "M half"];
                 let said = said[dice.rand_range(0..6) as usize];
                 let full = said.starts_with("BUSY").then_some(leg);
-                play.tell(Event::Bytes(End::Server(leg), said.as_bytes()), full);
+                play.tell(Event::Bytes(Endpoint::Server(leg), said.as_bytes()), full);
+            }
+            (11 | 12, _, Some(leg)) => play.tell(Event::Closed(Endpoint::Server(leg), how), None),
+            (13, _, Some(leg)) if !play.asked.contains_key(&leg) => {
+                play.tell(Event::ConnectFailed(leg), None)
             }
-            (11 | 12, _, Some(leg)) => play.tell(Event::Closed(End::Server(leg), how), None),
-            (13, _, Some(leg)) if !play.asked.contains_key(&leg) => play.tell(Event::Refused(leg), None),
             (14 | 15, ..) => {
                 let at = dice.rand_range(0..SERVERS as u64) as usize;
                 play.health[at] = ["ready", "ready", "draining", "gone"][dice.rand_range(0..4) as usize];
@@ -198,12 +200,12 @@
         }
     }
     for client in play.stand.clients.keys().copied().collect::<Vec<_>>() {
-        play.tell(Event::Closed(End::Client(client), How::Broken), None);
+        play.tell(Event::Closed(Endpoint::Client(client), CloseKind::Abortive), None);
     }
     play.later(10.0);
     assert_eq!(play.stand.reducer.violations(), 0, "the guard found a promise broken");
-    assert_eq!(play.stand.reducer.open(), (0, 0, 0), "a slot or a descriptor was not given back");
-    let waiting = play.stand.reducer.timers();
+    assert_eq!(play.stand.reducer.open_counts(), (0, 0, 0), "a slot or a descriptor was not given back");
+    let waiting = play.stand.reducer.timer_count();
     assert!(waiting <= 8, "{waiting} timers wait, and nothing is open");
     true
 }
--- a/crates/dewhead-proxy/tests/owed.rs
+++ b/crates/dewhead-proxy/tests/owed.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{discovery, host, list, settings, Stand};
-use dewhead_proxy::reducer::{End, Event, How};
+use dewhead_proxy::reducer::{CloseKind, Endpoint, Event};
 use serde_json::{json, Value};
 
 const KINDS: [&str; 3] = ["feed", "order", "note"];
@@ -104,15 +104,15 @@
 fn every_spoilt_answer_after_the_whole_line_has_one_outcome() {
     // What comes, whether the connection ends with it, and whether that says that it never ran.
     let line = "x".repeat(4096);
-    let cases: [(&str, Option<How>, bool); 9] = [
+    let cases: [(&str, Option<CloseKind>, bool); 9] = [
         ("BUSY\r\nUP 1\r\n", None, true),
         ("ERR\r\nBUSY\r\n", None, false),
-        ("UP 1", Some(How::Closed), false),
-        ("UP 1", Some(How::Broken), false),
-        ("BUSY", Some(How::Closed), false),
-        ("", Some(How::Broken), false),
-        ("BYE\r\n", Some(How::Closed), false),
-        ("MOVE\r\n", Some(How::Closed), false),
+        ("UP 1", Some(CloseKind::Graceful), false),
+        ("UP 1", Some(CloseKind::Abortive), false),
+        ("BUSY", Some(CloseKind::Graceful), false),
+        ("", Some(CloseKind::Abortive), false),
+        ("BYE\r\n", Some(CloseKind::Graceful), false),
+        ("MOVE\r\n", Some(CloseKind::Graceful), false),
         (&line, None, false),
     ];
     for kind in KINDS {
@@ -124,7 +124,7 @@
             stand.server_says(leg, said);
             // After a whole line the leg has ended, and its end falls on nobody.
             if let Some(how) = end.filter(|_| stand.dialled.len() == 1 && stand.servers.contains_key(&leg)) {
-                stand.tell(Event::Closed(End::Server(leg), how));
+                stand.tell(Event::Closed(Endpoint::Server(leg), how));
             }
             let again = never_ran || kind != "order";
             assert_eq!(stand.dialled.len(), 1 + usize::from(again), "{kind}: {said:.9?} {end:?}");
@@ -227,14 +227,14 @@
                     if stand.follows.len() > seen && stand.follows.len() < 4 {
                         seen = stand.follows.len();
                         stand.watching = true;
-                        stand.tell(Event::WatchOpen);
+                        stand.tell(Event::WatchOpened);
                         if !first.is_empty() {
-                            stand.tell(Event::Watch(first));
+                            stand.tell(Event::WatchBytes(first));
                         }
                         drip = then;
                     }
                     if stand.watching && stand.follows.len() < 4 && !drip.is_empty() {
-                        stand.tell(Event::Watch(drip));
+                        stand.tell(Event::WatchBytes(drip));
                     }
                 }
                 let openings = stand.follows.len() - 1;
@@ -299,7 +299,7 @@
                 stand.watch(&list(2, true, vec![host(0, "ready")]).to_string());
                 stand.later(0.3);
                 if moved {
-                    stand.tell(Event::Renewed(discovery(2), 200));
+                    stand.tell(Event::Reconfigured(discovery(2), 200));
                 } else {
                     stand.tell(Event::WatchLost);
                 }
@@ -322,9 +322,9 @@
                             stand.tell(Event::WatchLost);
                             continue;
                         }
-                        stand.tell(Event::WatchOpen);
+                        stand.tell(Event::WatchOpened);
                         if !how.at_once.is_empty() {
-                            stand.tell(Event::Watch(how.at_once));
+                            stand.tell(Event::WatchBytes(how.at_once));
                         }
                         if how.ends && stand.watching {
                             stand.tell(Event::WatchLost);
@@ -333,11 +333,11 @@
                     }
                     if let Some((after, text)) = how.later.filter(|_| stand.watching) {
                         if stand.now - asked_at >= after {
-                            stand.tell(Event::Watch(text));
+                            stand.tell(Event::WatchBytes(text));
                         }
                     }
                     if stand.watching && !how.drip.is_empty() {
-                        stand.tell(Event::Watch(how.drip));
+                        stand.tell(Event::WatchBytes(how.drip));
                     }
                 }
                 let after = heard_at.unwrap_or(f64::INFINITY);
@@ -363,7 +363,7 @@
             let mut stand = Stand::of(seed, &told, 256, list(1, true, vec![host(0, "ready")]));
             stand.watch(&list(2, true, vec![host(0, "ready")]).to_string());
             stand.later(1.0);
-            stand.tell(Event::Watch(b"\n"));
+            stand.tell(Event::WatchBytes(b"\n"));
             let before = stand.follows.len();
             stand.tell(Event::WatchLost);
             stand.later(0.0);
@@ -399,7 +399,7 @@
     // One that says nothing is not waited for: setting a call up must still be in time.
     let mut stand = Stand::unheard(7, &settings(), 256, held());
     let (client, gone) = (stand.call("feed"), stand.call("feed"));
-    stand.tell(Event::Closed(End::Client(gone), How::Closed));
+    stand.tell(Event::Closed(Endpoint::Client(gone), CloseKind::Graceful));
     stand.later(0.15);
     assert_eq!(stand.dialled.len(), 1, "for the one that stayed");
     assert_eq!(stand.got(client), "");
--- a/crates/dewhead-proxy/tests/reducer.rs
+++ b/crates/dewhead-proxy/tests/reducer.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{discovery, host, list, Stand};
-use dewhead_proxy::reducer::{End, Event, How};
+use dewhead_proxy::reducer::{CloseKind, Endpoint, Event};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
 
@@ -41,8 +41,8 @@
             }
             (2, Some(client), _) => stand.client_says(client, "M 1 x\r\nM 2"),
             (3, Some(client), _) => {
-                let how = if dice.rand_float() < 0.5 { How::Closed } else { How::Broken };
-                stand.tell(Event::Closed(End::Client(client), how));
+                let how = if dice.rand_float() < 0.5 { CloseKind::Graceful } else { CloseKind::Abortive };
+                stand.tell(Event::Closed(Endpoint::Client(client), how));
             }
             (4 | 5, _, Some(leg)) => stand.connected(leg),
             (6 | 7, _, Some(leg)) => stand.server_says(leg, "UP 77\r\nLOAD 9000.5\r\n"),
@@ -50,15 +50,15 @@
                 let said = ["BUSY\r\n", "ERR\r\n", "MOVE\r\n", "BYE\r\n", "odd\r\n", "M half", "UP"];
                 stand.server_says(leg, said[dice.rand_range(0..said.len() as u64) as usize]);
             }
-            (9, _, Some(leg)) => stand.tell(Event::Closed(End::Server(leg), How::Closed)),
-            (10, _, Some(leg)) => stand.tell(Event::Closed(End::Server(leg), How::Broken)),
-            (11, _, Some(leg)) => stand.tell(Event::Refused(leg)),
+            (9, _, Some(leg)) => stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful)),
+            (10, _, Some(leg)) => stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Abortive)),
+            (11, _, Some(leg)) => stand.tell(Event::ConnectFailed(leg)),
             (12, ..) if stand.watching => {
                 let at = dice.rand_range(0..6) as usize;
                 health[at] = ["ready", "draining", "gone"][dice.rand_range(0..3) as usize];
                 version += 1;
                 let line = format!("{}\n", list(version, false, vec![host(at, health[at])]));
-                stand.tell(Event::Watch(line.as_bytes()));
+                stand.tell(Event::WatchBytes(line.as_bytes()));
             }
             _ => stand.later(dice.rand_float() * 0.3),
         }
@@ -77,7 +77,7 @@
         }
     }
     for client in stand.clients.keys().copied().collect::<Vec<_>>() {
-        stand.tell(Event::Closed(End::Client(client), How::Closed));
+        stand.tell(Event::Closed(Endpoint::Client(client), CloseKind::Graceful));
     }
     stand.later(10.0);
     assert_eq!(
@@ -86,7 +86,7 @@
         "the guard found a promise broken: {:?}",
         stand.reducer.status(stand.now)["violations"]
     );
-    assert_eq!(stand.reducer.open(), (0, 0, 0), "something was not given back");
+    assert_eq!(stand.reducer.open_counts(), (0, 0, 0), "something was not given back");
     true
 }
 
@@ -117,11 +117,11 @@
     let client = stand.call("order");
     let leg = stand.leg();
     stand.tell(Event::Connected(leg));
-    stand.tell(Event::Closed(End::Server(leg), How::Broken));
+    stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Abortive));
     assert_eq!(stand.dialled.len(), 2, "broken before the last byte: it never ran");
     let leg = stand.leg();
     stand.connected(leg);
-    stand.tell(Event::Closed(End::Server(leg), How::Broken));
+    stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Abortive));
     assert_eq!(stand.dialled.len(), 2, "broken after it: it may have run");
     assert_eq!(stand.got(client), "ERR\r\n");
 }
@@ -180,7 +180,7 @@
         stand.later(0.5);
         assert_eq!(stand.got(quiet).ends_with("MOVE\r\n"), beat >= 1, "a line may be held back for a second");
         if beat == 1 {
-            stand.tell(Event::Closed(End::Client(quiet), How::Closed));
+            stand.tell(Event::Closed(Endpoint::Client(quiet), CloseKind::Graceful));
             break;
         }
     }
@@ -192,34 +192,34 @@
     let mut stand = Stand::ready(1);
     let (client, leg) = stand.standing();
     stand.server_says(leg, "BYE\r\n");
-    stand.tell(Event::Closed(End::Server(leg), How::Closed));
+    stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful));
     assert_eq!(stand.got(client), "UP 1\r\nBYE\r\n");
     assert!(stand.clients[&client].finished && stand.servers.is_empty());
     let (client, leg) = stand.standing();
-    stand.tell(Event::Closed(End::Client(client), How::Closed));
+    stand.tell(Event::Closed(Endpoint::Client(client), CloseKind::Graceful));
     assert!(stand.servers[&leg].finished, "the client's end goes on");
     stand.server_says(leg, "M last\r\n");
     assert_eq!(stand.got(client), "UP 1\r\nM last\r\n");
-    stand.tell(Event::Closed(End::Server(leg), How::Closed));
-    assert_eq!(stand.past.last().unwrap().closed, Some(How::Closed));
+    stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful));
+    assert_eq!(stand.past.last().unwrap().closed, Some(CloseKind::Graceful));
     let (client, leg) = stand.standing();
-    stand.tell(Event::Closed(End::Client(client), How::Broken));
+    stand.tell(Event::Closed(Endpoint::Client(client), CloseKind::Abortive));
     assert!(!stand.servers.contains_key(&leg));
-    assert_eq!(stand.past.last().unwrap().closed, Some(How::Broken));
+    assert_eq!(stand.past.last().unwrap().closed, Some(CloseKind::Abortive));
 }
 
 /// Seen on days with servers that drop connections: a client cut off waits longer than one that is told to move.
 #[test]
 fn a_client_whose_server_is_lost_is_told_to_move_unless_within_a_line() {
-    for how in [How::Broken, How::Closed] {
+    for how in [CloseKind::Abortive, CloseKind::Graceful] {
         let mut stand = Stand::ready(1);
         let (client, leg) = stand.standing();
-        stand.tell(Event::Closed(End::Server(leg), how));
+        stand.tell(Event::Closed(Endpoint::Server(leg), how));
         assert_eq!(stand.got(client), "UP 1\r\nMOVE\r\n");
         let mut stand = Stand::ready(1);
         let (client, leg) = stand.standing();
         stand.server_says(leg, "M 1 hal");
-        stand.tell(Event::Closed(End::Server(leg), how));
+        stand.tell(Event::Closed(Endpoint::Server(leg), how));
         let ended = stand.clients.get(&client).is_none_or(|c| c.finished && c.got == b"UP 1\r\nM 1 hal");
         assert!(ended, "ended as the server was, with no word amid a line");
     }
@@ -231,7 +231,7 @@
     let line = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=shop-a,d=4294967,at=s-2\r\n";
     let client = stand.open(line);
     let leg = stand.leg();
-    stand.tell(Event::Refused(leg));
+    stand.tell(Event::ConnectFailed(leg));
     stand.later(0.2);
     assert_eq!(stand.dialled, [9002, 9002]);
     let leg = stand.leg();
@@ -302,7 +302,7 @@
     let third = stand.open(line);
     assert_eq!((stand.got(third).as_str(), stand.dialled.len()), ("ERR\r\n", 1));
     stand.server_says(leg, "BYE\r\n");
-    stand.tell(Event::Closed(End::Server(leg), How::Closed));
+    stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful));
     assert_eq!(stand.got(first), "UP 1\r\nBYE\r\n");
     stand.open(line);
     assert_eq!(stand.dialled.len(), 2);
@@ -329,7 +329,7 @@
                 stand.connected(leg);
                 stand.server_says(leg, "UP 1\r\n");
                 taken += 1;
-                stand.tell(Event::Closed(End::Client(client), How::Broken));
+                stand.tell(Event::Closed(Endpoint::Client(client), CloseKind::Abortive));
             }
             stand.later(0.05);
         }
@@ -356,10 +356,11 @@
         busy += usize::from(stand.got(client).starts_with("BUSY"));
     }
     assert!(busy > 0);
-    let (sessions, legs, _) = stand.reducer.open();
+    let (sessions, legs, _) = stand.reducer.open_counts();
     assert!(sessions + legs <= 64);
     let all: Vec<usize> = stand.clients.keys().copied().collect();
-    all.into_iter().for_each(|client| stand.tell(Event::Closed(End::Client(client), How::Closed)));
+    all.into_iter()
+        .for_each(|client| stand.tell(Event::Closed(Endpoint::Client(client), CloseKind::Graceful)));
     assert!(stand.accepting, "accepted again once descriptors are back");
 }
 
@@ -378,8 +379,8 @@
         format!("HTTP/1.1 200 OK\r\n\r\n{}\n", list(0, true, vec![])),
     ] {
         let mut stand = Stand::ready(1);
-        stand.tell(Event::WatchOpen);
-        stand.tell(Event::Watch(bad.as_bytes()));
+        stand.tell(Event::WatchOpened);
+        stand.tell(Event::WatchBytes(bad.as_bytes()));
         stand.call("feed");
         assert_eq!(stand.dialled, [9000], "{bad}");
         stand.later(4.0);
@@ -413,8 +414,8 @@
     // Whose call, its number, when it came, and whether it was ended.
     let mut queue: std::collections::VecDeque<(usize, usize, f64, bool)> = Default::default();
     let turn_away = |stand: &mut Stand| {
-        stand.tell(Event::WatchOpen);
-        stand.tell(Event::Watch(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
+        stand.tell(Event::WatchOpened);
+        stand.tell(Event::WatchBytes(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
     };
     let mut held = std::collections::BTreeSet::new();
     let (mut by_second, mut done) = (Vec::new(), 0.0);
@@ -452,7 +453,7 @@
         for (at, stand) in fleet.iter_mut().enumerate() {
             // What keeps a watch alive.
             if held.contains(&at) && step % 20 == 0 {
-                stand.tell(Event::Watch(b"\n"));
+                stand.tell(Event::WatchBytes(b"\n"));
             }
             stand.later(0.05);
         }
@@ -484,8 +485,8 @@
     let mut stand = Stand::ready(1);
     let before = stand.follows.len();
     stand.watching = true;
-    stand.tell(Event::WatchOpen);
-    stand.tell(Event::Watch(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
+    stand.tell(Event::WatchOpened);
+    stand.tell(Event::WatchBytes(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
     (0..48).for_each(|_| stand.later(0.1));
     assert_eq!(stand.follows.len(), before, "it is left alone for nearly five seconds");
     (0..9).for_each(|_| stand.later(0.1));
@@ -508,7 +509,7 @@
         } else {
             stand.tell(Event::WatchLost);
         }
-        stand.tell(Event::Renewed(discovery(2), 200));
+        stand.tell(Event::Reconfigured(discovery(2), 200));
         assert_eq!(stand.follows.last(), Some(&(discovery(2), 0)));
         stand.call("feed");
         assert_eq!(stand.dialled.len(), 2, "the list held serves till the new one comes");
@@ -544,7 +545,7 @@
         stand.later(0.1);
         let now = stand.clients.iter().filter(|(_, c)| c.got.ends_with(b"MOVE\r\n")).map(|(slot, _)| *slot);
         let now: Vec<usize> = now.collect();
-        now.iter().for_each(|c| stand.tell(Event::Closed(End::Client(*c), How::Closed)));
+        now.iter().for_each(|c| stand.tell(Event::Closed(Endpoint::Client(*c), CloseKind::Graceful)));
         moved.push(now.len());
     }
     assert_eq!(moved.iter().sum::<usize>(), 41, "all of them, {late} too");
@@ -660,7 +661,7 @@
     let anew = vec![host(0, "ready"), host(1, "draining"), host(2, "ready"), host(3, "ready")];
     stand.watch(&list(1, true, anew).to_string());
     assert_eq!(to(&mut stand), [9000, 9003]);
-    stand.tell(Event::Watch(format!("{}\n", list(2, false, vec![host(2, "ready")])).as_bytes()));
+    stand.tell(Event::WatchBytes(format!("{}\n", list(2, false, vec![host(2, "ready")])).as_bytes()));
     assert_eq!(to(&mut stand), [9000, 9002, 9003], "a change names it, and it serves again");
 }
 
@@ -700,12 +701,12 @@
     let mut stand = Stand::ready(1);
     let before = stand.follows.len();
     stand.watching = true;
-    stand.tell(Event::WatchOpen);
-    stand.tell(Event::Watch(b"HTTP/1.1 200 OK\r\n\r\n"));
+    stand.tell(Event::WatchOpened);
+    stand.tell(Event::WatchBytes(b"HTTP/1.1 200 OK\r\n\r\n"));
     let piece = vec![b' '; 1 << 20];
     for _ in 0..6 {
         if stand.watching {
-            stand.tell(Event::Watch(&piece));
+            stand.tell(Event::WatchBytes(&piece));
         }
     }
     assert!(!stand.watching, "it is given up");
