--- a/crates/dewhead-proxy/src/control/ask.rs
+++ b/crates/dewhead-proxy/src/control/client.rs
@@ -1,6 +1,6 @@
 //! Asking a running proxy, for `dewhead ctl`.
 
-use super::words;
+use super::protocol;
 use crate::transient::persist;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Write};
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 /// A proxy that says nothing for so long is not waited for.
-pub(super) const PATIENCE: Duration = Duration::from_secs(5);
+pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Asks, and returns the answer; a fault that the proxy tells is an error.
-pub fn ask(
+pub fn send_request(
     socket: &Path,
     action: &str,
     seconds: Option<f64>,
@@ -20,20 +20,20 @@
 ) -> Result<Value, String> {
     let fault = |e: std::io::Error| format!("{}: {e}", socket.display());
     let mut stream = persist(|| UnixStream::connect(socket)).map_err(fault)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(fault)?;
-    stream.set_write_timeout(Some(PATIENCE)).map_err(fault)?;
-    stream.write_all(words::line(action, seconds, program).as_bytes()).map_err(fault)?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(fault)?;
+    stream.set_write_timeout(Some(RESPONSE_TIMEOUT)).map_err(fault)?;
+    stream.write_all(protocol::format_request(action, seconds, program).as_bytes()).map_err(fault)?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).map_err(fault)?;
-    understood(socket, &line)
+    parse_response(socket, &line)
 }
 
 /// An answer that says well; a fault that the proxy tells is an error.
-pub(super) fn understood(socket: &Path, line: &str) -> Result<Value, String> {
+pub(super) fn parse_response(socket: &Path, line: &str) -> Result<Value, String> {
     let answer: Value = serde_json::from_str(line)
         .map_err(|_| format!("{}: the answer is not understood: '{}'", socket.display(), line.trim_end()))?;
     match answer["version"].as_u64() {
-        Some(words::VERSION) => {}
+        Some(protocol::VERSION) => {}
         _ => return Err(format!("{}: it speaks another version", socket.display())),
     }
     if answer["ok"] != true {
@@ -43,7 +43,7 @@
 }
 
 /// An answer for people: a field a line, lists as tables.
-pub fn plainly(answer: &Value) -> String {
+pub fn format_plain_text(answer: &Value) -> String {
     let mut text = String::new();
     for (name, value) in answer.as_object().into_iter().flatten() {
         match value {
--- a/crates/dewhead-proxy/src/control/mod.rs
+++ b/crates/dewhead-proxy/src/control/mod.rs
@@ -2,7 +2,7 @@
 //! `ask` is the other
 //! side, for the command line, and `predecessor` that of a process that takes another's place.
 
-pub mod ask;
+pub mod client;
 pub mod predecessor;
+pub mod protocol;
 pub mod socket;
-pub mod words;
--- a/crates/dewhead-proxy/src/control/predecessor.rs
+++ b/crates/dewhead-proxy/src/control/predecessor.rs
@@ -1,8 +1,8 @@
 //! The process whose place this one takes: asked for its listening socket and for what it has learned, and followed until
 //! it has ended. It may go on for a minute with clients of its own, and hears of a stop through this process alone.
 
-use super::ask::{understood, PATIENCE};
-use super::words;
+use super::client::{parse_response, RESPONSE_TIMEOUT};
+use super::protocol;
 use crate::transient::persist;
 use mio::net::UnixStream;
 use mio::{Interest, Registry, Token};
@@ -22,7 +22,7 @@
     stream: BufReader<BlockingUnixStream>,
     socket: PathBuf,
     pub listener: std::net::TcpListener,
-    pub handed: Value,
+    pub handover_state: Value,
 }
 
 impl Predecessor {
@@ -31,11 +31,11 @@
     /// # Errors
     ///
     /// One line that names the socket: nobody answers there, or the process hands nothing on.
-    pub fn ask(socket: &Path) -> Result<Predecessor, String> {
+    pub fn request_handover(socket: &Path) -> Result<Predecessor, String> {
         let fault = |e: io::Error| format!("{}: {e}", socket.display());
         let mut stream = persist(|| BlockingUnixStream::connect(socket)).map_err(fault)?;
-        stream.set_read_timeout(Some(PATIENCE)).map_err(fault)?;
-        stream.write_all(words::line("succeed", None, None).as_bytes()).map_err(fault)?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(fault)?;
+        stream.write_all(protocol::format_request("succeed", None, None).as_bytes()).map_err(fault)?;
         let mut listener = None;
         let mut said: Vec<u8> = Vec::new();
         let mut some = vec![0; 64 << 10];
@@ -58,10 +58,10 @@
             }
             said.extend_from_slice(&some[..got]);
         }
-        let answer = understood(socket, String::from_utf8_lossy(&said).trim_end())?;
+        let answer = parse_response(socket, String::from_utf8_lossy(&said).trim_end())?;
         let listener = listener.ok_or_else(|| format!("{}: it handed on no socket", socket.display()))?;
         let (stream, socket) = (BufReader::new(stream), socket.to_owned());
-        Ok(Predecessor { stream, socket, listener, handed: answer["handed"].clone() })
+        Ok(Predecessor { stream, socket, listener, handover_state: answer["handed"].clone() })
     }
 
     /// Tells it that its place is taken; once that is answered it accepts no more.
@@ -69,15 +69,18 @@
     /// # Errors
     ///
     /// One line that names the socket: the process has gone, or has been told to stop meanwhile.
-    pub fn succeeded(
+    pub fn confirm_takeover(
         mut self,
         seconds: Option<f64>,
     ) -> Result<(std::net::TcpListener, BlockingUnixStream), String> {
         let fault = |e: io::Error| format!("{}: {e}", self.socket.display());
-        self.stream.get_mut().write_all(words::line("succeeded", seconds, None).as_bytes()).map_err(fault)?;
+        self.stream
+            .get_mut()
+            .write_all(protocol::format_request("succeeded", seconds, None).as_bytes())
+            .map_err(fault)?;
         let mut line = String::new();
         self.stream.read_line(&mut line).map_err(fault)?;
-        understood(&self.socket, &line)?;
+        parse_response(&self.socket, &line)?;
         Ok((self.listener, self.stream.into_inner()))
     }
 }
@@ -104,7 +107,7 @@
 
     /// Tells it to stop in the time that a signal leaves.
     pub fn stop(&mut self) {
-        self.waiting.extend_from_slice(words::line("stop", None, None).as_bytes());
+        self.waiting.extend_from_slice(protocol::format_request("stop", None, None).as_bytes());
         self.flush();
     }
 
--- a/crates/dewhead-proxy/src/control/words.rs
+++ b/crates/dewhead-proxy/src/control/protocol.rs
@@ -17,8 +17,8 @@
     Handover(Option<String>),
     /// From that process: to be given the listening socket and what was learned; then that it is ready, and over how
     /// many seconds the standing clients leave.
-    Succeed,
-    Succeeded(Option<f64>),
+    TakeOver,
+    TakenOver(Option<f64>),
     /// From that process, once it has taken the place: a signal has told it to stop, and so both do.
     Stop,
 }
@@ -27,7 +27,7 @@
 const LONGEST_SPREAD: f64 = 3600.0;
 
 /// Reads a request; a fault is one line that says what is wrong.
-pub fn request(line: &str) -> Result<Request, String> {
+pub fn parse_request(line: &str) -> Result<Request, String> {
     let value: Value = serde_json::from_str(line).map_err(|_| "a request is one line of JSON".to_owned())?;
     let version = value.get("version").and_then(Value::as_u64).unwrap_or(VERSION);
     if version != VERSION {
@@ -42,8 +42,8 @@
             Some(Value::String(path)) => Ok(Request::Handover(Some(path.clone()))),
             Some(_) => Err("field 'program' is not a text".to_owned()),
         },
-        Some("succeed") => Ok(Request::Succeed),
-        Some("succeeded") => Ok(Request::Succeeded(seconds(&value)?)),
+        Some("succeed") => Ok(Request::TakeOver),
+        Some("succeeded") => Ok(Request::TakenOver(seconds(&value)?)),
         Some("stop") => Ok(Request::Stop),
         Some("undrain") => Ok(Request::Undrain),
         Some("reload") => Ok(Request::Reload),
@@ -63,7 +63,7 @@
 }
 
 /// A request as the command line sends it.
-pub fn line(action: &str, seconds: Option<f64>, program: Option<&str>) -> String {
+pub fn format_request(action: &str, seconds: Option<f64>, program: Option<&str>) -> String {
     let mut value = json!({"version": VERSION, "do": action});
     if let Some(seconds) = seconds {
         value["seconds"] = seconds.into();
@@ -75,7 +75,7 @@
 }
 
 /// An answer: what was asked for, or what is wrong.
-pub fn answer(outcome: Result<Value, String>) -> String {
+pub fn format_response(outcome: Result<Value, String>) -> String {
     let mut value = match outcome {
         Ok(value) => value,
         Err(fault) => return format!("{}\n", json!({"version": VERSION, "ok": false, "fault": fault})),
--- a/crates/dewhead-proxy/src/control/socket.rs
+++ b/crates/dewhead-proxy/src/control/socket.rs
@@ -57,7 +57,7 @@
     }
 
     /// Which visitor a token is; the listener is none of them.
-    pub fn whose(token: Token) -> Option<Option<usize>> {
+    pub fn connection_of(token: Token) -> Option<Option<usize>> {
         match token {
             LISTENER => Some(None),
             Token(at) if at <= FIRST && at > FIRST - VISITORS => Some(Some(FIRST - at)),
@@ -85,7 +85,7 @@
     }
 
     /// What a visitor has asked by now, line by line.
-    pub fn read(&mut self, place: usize) -> Vec<String> {
+    pub fn read_lines(&mut self, place: usize) -> Vec<String> {
         let Some(visitor) = &mut self.visitors[place] else { return Vec::new() };
         let mut some = [0; 1024];
         let mut ended = false;
@@ -116,7 +116,7 @@
         asked
     }
 
-    pub fn answer(&mut self, place: usize, text: &str) {
+    pub fn send_response(&mut self, place: usize, text: &str) {
         if let Some(visitor) = &mut self.visitors[place] {
             visitor.out.extend_from_slice(text.as_bytes());
             self.flush(place);
@@ -124,7 +124,12 @@
     }
 
     /// Answers, and hands a descriptor over with it.
-    pub fn answer_with(&mut self, place: usize, text: &str, handed: BorrowedFd) -> io::Result<()> {
+    pub fn send_response_with_descriptor(
+        &mut self,
+        place: usize,
+        text: &str,
+        handed: BorrowedFd,
+    ) -> io::Result<()> {
         let Some(visitor) = &mut self.visitors[place] else { return Ok(()) };
         let mut space = [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
@@ -142,7 +147,7 @@
     }
 
     /// Whether somebody is at this place still.
-    pub fn holds(&self, place: usize) -> bool {
+    pub fn is_open(&self, place: usize) -> bool {
         self.visitors[place].as_ref().is_some_and(|v| !v.leaving)
     }
 
--- a/crates/dewhead-proxy/src/turn.rs
+++ b/crates/dewhead-proxy/src/event_loop.rs
@@ -8,9 +8,9 @@
 use crate::clock::Clock;
 use crate::control::predecessor::RetiringPredecessor;
 use crate::control::socket::ControlSocket;
-use crate::lifecycle::notify::{Notify, Word};
-use crate::lifecycle::signals::Flags;
-use crate::lifecycle::stages::{Act, Life, Told};
+use crate::lifecycle::notify::{Notification, Notifier};
+use crate::lifecycle::signals::SignalFlags;
+use crate::lifecycle::stages::{StageAction, StageEvent, StageMachine};
 use crate::memory::links::Link;
 use crate::reducer::{Effect, End, Event, How, Reducer};
 use crate::transient::{is_transient, persist};
@@ -45,13 +45,13 @@
 
 /// Reads the configuration again, and says in the log what is wrong with it unless told to be quiet. What of it changes
 /// while the proxy runs, as `Event::Renewed` has it; none while it can't be read.
-pub type Renewed = Box<dyn FnMut(Report) -> Option<(SocketAddr, usize)>>;
+pub type ConfigurationReloader = Box<dyn FnMut(FaultLogging) -> Option<(SocketAddr, usize)>>;
 
 /// Whether a fault in the configuration is told in the log.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Report {
-    Faults,
-    Nothing,
+pub enum FaultLogging {
+    On,
+    Off,
 }
 
 /// A configuration that could not be read, and is read again.
@@ -73,9 +73,9 @@
 }
 
 /// Starts a program that takes this process's place, by its path or this one's own.
-pub type Starts = Box<dyn FnMut(Option<&str>) -> Result<std::process::Child, String>>;
+pub type SuccessorStarter = Box<dyn FnMut(Option<&str>) -> Result<std::process::Child, String>>;
 
-pub struct Turn {
+pub struct EventLoop {
     poll: Poll,
     clock: Clock,
     reducer: Reducer,
@@ -85,19 +85,19 @@
     signals: UnixStream,
     renewals: UnixStream,
     /// Whether signals to stop and to read it again have come. Without flags the bytes alone tell.
-    pub flags: Option<Flags>,
+    pub signal_flags: Option<SignalFlags>,
     /// Reads it; none if it is faulty and nothing changes.
-    renewed: Renewed,
+    renewed: ConfigurationReloader,
     reread: Option<Reread>,
     /// The stage that the process is in, who is told of it, and where operators ask.
-    life: Life,
-    pub notify: Notify,
+    life: StageMachine,
+    pub notifier: Notifier,
     control_socket: Option<ControlSocket>,
     /// Somebody may wait at the control socket; from when on that is looked at again.
     let_in_from: Option<f64>,
     /// Starts a process to take this one's place; the one that was started, until it is known what became of it; and
     /// how far a process has come with taking it.
-    pub start_successor: Option<Starts>,
+    pub start_successor: Option<SuccessorStarter>,
     child: Option<std::process::Child>,
     succession: Succession,
     /// The process whose place this one has taken, until that has ended.
@@ -139,14 +139,14 @@
     while matches!(told.read(&mut some), Ok(n) if n > 0) {}
 }
 
-impl Turn {
+impl EventLoop {
     pub fn new(
         clock: Clock,
         reducer: Reducer,
         mut listener: TcpListener,
         signals: std::os::unix::net::UnixStream,
-        (renewals, renewed): (std::os::unix::net::UnixStream, Renewed),
-    ) -> io::Result<Turn> {
+        (renewals, renewed): (std::os::unix::net::UnixStream, ConfigurationReloader),
+    ) -> io::Result<EventLoop> {
         let poll = persist(Poll::new)?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
         let heard = |told: std::os::unix::net::UnixStream, token| {
@@ -156,18 +156,18 @@
             io::Result::Ok(told)
         };
         let (signals, renewals) = (heard(signals, SIGNALS)?, heard(renewals, RENEWALS)?);
-        Ok(Turn {
+        Ok(EventLoop {
             poll,
             clock,
             reducer,
             listener: Some(listener),
             signals,
             renewals,
-            flags: None,
+            signal_flags: None,
             renewed,
             reread: None,
-            life: Life::default(),
-            notify: Notify::silent(),
+            life: StageMachine::default(),
+            notifier: Notifier::disabled(),
             control_socket: None,
             let_in_from: None,
             start_successor: None,
@@ -195,14 +195,14 @@
         let now = self.clock.now();
         let mut unticked = 0;
         self.apply(now, &[]);
-        self.live(now, Told::List(self.reducer.holds_list()));
-        self.live(now, Told::Listens);
+        self.live(now, StageEvent::ServerListHeld(self.reducer.holds_list()));
+        self.live(now, StageEvent::Listening);
         while !self.exit {
-            self.notify.turn(self.clock.now());
+            self.notifier.send_watchdog_if_due(self.clock.now());
             let accept = self.accept_from.filter(|_| self.accepting);
             let reread = self.reread.map(|again| again.at);
             let predecessor = self.predecessor_ends_by.filter(|_| self.predecessor.is_some());
-            let others = [accept, self.notify.due(), reread, self.let_in_from, predecessor];
+            let others = [accept, self.notifier.watchdog_due(), reread, self.let_in_from, predecessor];
             let due =
                 self.reducer.next_due().into_iter().chain(others.into_iter().flatten()).reduce(f64::min);
             let wait = match due {
@@ -240,7 +240,7 @@
                     PREDECESSOR => self.hear_predecessor(),
                     WATCH => {}
                     other => {
-                        if let Some(whose) = ControlSocket::whose(other) {
+                        if let Some(whose) = ControlSocket::connection_of(other) {
                             self.visited(now, whose);
                         } else if let Some(end) = end_of(other) {
                             self.ready(
@@ -253,14 +253,14 @@
                 }
             }
             // A flag that is set may have lost its byte; a byte whose flag was seen before tells nothing new.
-            if let Some(flags) = &self.flags {
+            if let Some(flags) = &self.signal_flags {
                 (stop, reload) = (flags.stop.take(), flags.reload.take());
             }
             if stop {
-                self.live(now, Told::Stop);
+                self.live(now, StageEvent::StopRequested);
             }
             if reload {
-                self.live(now, Told::Renew);
+                self.live(now, StageEvent::ReloadRequested);
             }
             self.end_broken(now);
             // Only once all that came before is read: a process that was held up for a second took what lay in its sockets
@@ -288,7 +288,7 @@
         }
         self.leave_predecessor();
         self.reducer.end();
-        self.live(self.clock.now(), Told::Over);
+        self.live(self.clock.now(), StageEvent::Finished);
         info!("stopped");
         Ok(())
     }
@@ -304,28 +304,28 @@
     }
 
     /// The life goes on, and what it asks for is done.
-    fn live(&mut self, now: f64, told: Told) {
-        for act in self.life.told(told) {
+    fn live(&mut self, now: f64, told: StageEvent) {
+        for act in self.life.handle(told) {
             match act {
-                Act::TellReady => self.notify.tell(Word::Ready),
-                Act::TellReloading => self.notify.tell(Word::Reloading),
-                Act::TellStopping => self.notify.tell(Word::Stopping),
-                Act::TellStage => {
+                StageAction::NotifyReady => self.notifier.send(Notification::Ready),
+                StageAction::NotifyReloading => self.notifier.send(Notification::Reloading),
+                StageAction::NotifyStopping => self.notifier.send(Notification::Stopping),
+                StageAction::ReportStage => {
                     let stage = self.life.stage().name();
                     info!(stage; "the process is {stage}");
-                    self.notify.tell(Word::Status(stage));
+                    self.notifier.send(Notification::Status(stage));
                 }
-                Act::ReadAgain => {
+                StageAction::ReloadConfiguration => {
                     self.reread = None;
-                    if !self.renew(now, Report::Faults) {
+                    if !self.renew(now, FaultLogging::On) {
                         self.reread = Some(Reread { at: now + REREAD_PAUSE, until: now + REREAD_FOR });
                     }
-                    self.live(now, Told::Renewed);
+                    self.live(now, StageEvent::ReloadFinished);
                 }
                 // How long the drain takes was told with it.
-                Act::Drain => {}
-                Act::Undrain => self.tell(now, Event::Undrain, &[]),
-                Act::Stop => {
+                StageAction::Drain => {}
+                StageAction::Undrain => self.tell(now, Event::Undrain, &[]),
+                StageAction::Stop => {
                     self.stop_predecessor(now);
                     self.tell(now, Event::Stop, &[]);
                 }
@@ -334,7 +334,7 @@
     }
 
     /// Reads the configuration and goes by it; false where it can't be read.
-    fn renew(&mut self, now: f64, report: Report) -> bool {
+    fn renew(&mut self, now: f64, report: FaultLogging) -> bool {
         let Some((discovery, most)) = (self.renewed)(report) else { return false };
         self.tell(now, Event::Renewed(discovery, most), &[]);
         true
@@ -343,7 +343,7 @@
     /// Reads the configuration once more, where that is due.
     fn reread(&mut self, now: f64) {
         let Some(again) = self.reread.filter(|again| again.at <= now) else { return };
-        let done = self.renew(now, Report::Nothing) || now >= again.until;
+        let done = self.renew(now, FaultLogging::Off) || now >= again.until;
         self.reread = (!done).then_some(Reread { at: now + REREAD_PAUSE, ..again });
     }
 
@@ -521,7 +521,7 @@
         self.reducer.step(now, event);
         self.apply(now, bytes);
         if news {
-            self.live(now, Told::List(self.reducer.holds_list()));
+            self.live(now, StageEvent::ServerListHeld(self.reducer.holds_list()));
         }
     }
 
--- a/crates/dewhead-proxy/src/turn/accept.rs
+++ b/crates/dewhead-proxy/src/event_loop/accept.rs
@@ -1,6 +1,6 @@
 //! Accepting clients, and the queue of those not accepted yet when the process ends.
 
-use super::Turn;
+use super::EventLoop;
 use crate::reducer::{End, Event, How};
 use log::warn;
 use std::io;
@@ -14,7 +14,7 @@
 const LAST_ACCEPTS: u32 = 10;
 const LAST_PAUSE: Duration = Duration::from_millis(5);
 
-impl Turn {
+impl EventLoop {
     /// Who came in time and was not accepted yet would be reset with the listener. Accepting may fail for a moment; and
     /// where time is up, what those who are in have sent is read and answered here, or not at all.
     pub(super) fn empty_queue(&mut self, now: f64) {
--- a/crates/dewhead-proxy/src/turn/control.rs
+++ b/crates/dewhead-proxy/src/event_loop/control.rs
@@ -1,10 +1,10 @@
 //! The control socket's part of the loop: what operators and a successor ask for.
 
 use super::accept::ACCEPT_PAUSE;
-use super::{Succession, Turn};
+use super::{EventLoop, Succession};
+use crate::control::protocol::{self, Request};
 use crate::control::socket::ControlSocket;
-use crate::control::words::{self, Request};
-use crate::lifecycle::stages::{Stage, Told};
+use crate::lifecycle::stages::{Stage, StageEvent};
 use crate::reducer::Event;
 use log::{info, warn};
 use std::io;
@@ -14,7 +14,7 @@
     format!("not while the process is {}", stage.name())
 }
 
-impl Turn {
+impl EventLoop {
     /// Opens the control socket.
     pub fn open_control_socket(&mut self, path: &std::path::Path) -> io::Result<()> {
         self.control_socket = Some(ControlSocket::open(path, self.poll.registry())?);
@@ -33,22 +33,22 @@
         let Some(socket) = &mut self.control_socket else { return };
         let Some(place) = whose else { return self.let_in(now) };
         socket.flush(place);
-        for line in socket.read(place) {
-            let outcome = match words::request(&line) {
-                Ok(Request::Succeed) => match self.hand_on(now, place) {
+        for line in socket.read_lines(place) {
+            let outcome = match protocol::parse_request(&line) {
+                Ok(Request::TakeOver) => match self.hand_on(now, place) {
                     Ok(()) => continue,
                     Err(fault) => Err(fault),
                 },
-                Ok(Request::Succeeded(seconds)) => self.retire(now, place, seconds),
+                Ok(Request::TakenOver(seconds)) => self.retire(now, place, seconds),
                 Ok(Request::Stop) => self.stop_with_successor(now, place),
                 Ok(request) => self.asked(now, request),
                 Err(fault) => Err(fault),
             };
             if let Some(socket) = &mut self.control_socket {
-                socket.answer(place, &words::answer(outcome));
+                socket.send_response(place, &protocol::format_response(outcome));
             }
         }
-        let left = !self.control_socket.as_ref().is_some_and(|socket| socket.holds(place));
+        let left = !self.control_socket.as_ref().is_some_and(|socket| socket.is_open(place));
         if left && self.succession == Succession::Offered(place) {
             // It died, or could not start: nothing has changed here.
             warn!("the process that was to take this one's place has gone; serving on");
@@ -86,9 +86,9 @@
         let (Some(listener), Some(socket)) = (&self.listener, &mut self.control_socket) else {
             return Err("there is no listening socket to hand on".to_owned());
         };
-        let answer = words::answer(Ok(serde_json::json!({"handed": self.reducer.hand_on(now)})));
+        let answer = protocol::format_response(Ok(serde_json::json!({"handed": self.reducer.hand_on(now)})));
         socket
-            .answer_with(place, &answer, listener.as_fd())
+            .send_response_with_descriptor(place, &answer, listener.as_fd())
             .map_err(|e| format!("the socket can't be handed on: {e}"))?;
         socket.flush(place);
         self.succession = Succession::Offered(place);
@@ -115,7 +115,7 @@
         if let Some(socket) = &mut self.control_socket {
             socket.close_listener(self.poll.registry());
         }
-        self.live(now, Told::Succeeded);
+        self.live(now, StageEvent::SuccessorTookOver);
         let spread = seconds.unwrap_or_else(|| self.reducer.usual_spread());
         self.tell(now, Event::Retire(spread), &[]);
         Ok(serde_json::json!({"stage": self.life.stage().name()}))
@@ -126,7 +126,7 @@
         if self.succession != Succession::Taken(place) {
             return Err("only the process that has taken the place can stop this one".to_owned());
         }
-        self.live(now, Told::Stop);
+        self.live(now, StageEvent::StopRequested);
         Ok(serde_json::json!({"stage": self.life.stage().name()}))
     }
 
@@ -139,7 +139,7 @@
                 if !matches!(stage, Stage::Ready | Stage::Waiting) {
                     return Err(refused(stage));
                 }
-                self.live(now, Told::Drain);
+                self.live(now, StageEvent::DrainRequested);
                 let spread = seconds.unwrap_or_else(|| self.reducer.usual_spread());
                 self.tell(now, Event::Drain(spread), &[]);
             }
@@ -147,9 +147,9 @@
                 if stage != Stage::Draining {
                     return Err(refused(stage));
                 }
-                self.live(now, Told::Undrain);
+                self.live(now, StageEvent::UndrainRequested);
             }
-            Request::Reload => self.live(now, Told::Renew),
+            Request::Reload => self.live(now, StageEvent::ReloadRequested),
             Request::Handover(program) => {
                 self.reap();
                 if self.is_handing_over() {
@@ -164,7 +164,7 @@
                 self.child = Some(child);
             }
             // Answered where the visitor is known.
-            Request::Succeed | Request::Succeeded(_) | Request::Stop => {}
+            Request::TakeOver | Request::TakenOver(_) | Request::Stop => {}
         }
         let mut status = self.reducer.status(now);
         status["stage"] = self.life.stage().name().into();
--- a/crates/dewhead-proxy/src/turn/predecessor.rs
+++ b/crates/dewhead-proxy/src/event_loop/predecessor.rs
@@ -3,7 +3,7 @@
 //! A supervisor may know this process alone: its signal is passed on, and this process ends after its predecessor, as
 //! many supervisors kill what is left of a service once its main process has ended.
 
-use super::{Turn, PREDECESSOR};
+use super::{EventLoop, PREDECESSOR};
 use crate::control::predecessor::RetiringPredecessor;
 use log::{info, warn};
 use std::os::unix::net::UnixStream;
@@ -12,7 +12,7 @@
 /// clients stay to the last, both would else end at the same time, and either one first.
 const LATER: f64 = 0.05;
 
-impl Turn {
+impl EventLoop {
     /// Follows the process whose place was taken, on the connection on which it was.
     pub fn follow_predecessor(&mut self, stream: UnixStream) {
         match RetiringPredecessor::follow(stream, self.poll.registry(), PREDECESSOR) {
--- a/crates/dewhead-proxy/src/lib.rs
+++ b/crates/dewhead-proxy/src/lib.rs
@@ -3,10 +3,10 @@
 
 pub mod clock;
 pub mod control;
+pub mod event_loop;
 pub mod guard;
 pub mod lifecycle;
 pub mod memory;
 pub mod reducer;
 pub mod transient;
-pub mod turn;
 pub mod wire;
--- a/crates/dewhead-proxy/src/lifecycle/command.rs
+++ b/crates/dewhead-proxy/src/lifecycle/command_line.rs
@@ -1,13 +1,13 @@
 //! The command line.
 
 use super::configuration::Configuration;
-use crate::control::ask;
+use crate::control::client;
 use argh::FromArgs;
 use std::path::PathBuf;
 
 /// A balancer for long-lived connections.
 #[derive(FromArgs)]
-pub struct Line {
+pub struct CommandLine {
     #[argh(subcommand)]
     command: Command,
 }
@@ -70,18 +70,18 @@
 }
 
 impl Ctl {
-    fn carry_out(&self) -> Result<(), String> {
+    fn execute(&self) -> Result<(), String> {
         let socket = match &self.socket {
             Some(path) => path.clone(),
             None => Configuration::load(self.config.as_deref())?
-                .control
+                .control_socket
                 .ok_or("no control socket: give --socket, or set field 'control' in the configuration")?,
         };
-        let answer = ask::ask(&socket, &self.action, self.seconds, self.program.as_deref())?;
+        let answer = client::send_request(&socket, &self.action, self.seconds, self.program.as_deref())?;
         if self.json {
             println!("{answer}");
         } else {
-            print!("{}", ask::plainly(&answer));
+            print!("{}", client::format_plain_text(&answer));
         }
         Ok(())
     }
@@ -92,11 +92,11 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-pub fn read() -> Line {
+pub fn parse() -> CommandLine {
     argh::from_env()
 }
 
-pub fn carry_out(line: &Line) -> Result<(), String> {
+pub fn execute(line: &CommandLine) -> Result<(), String> {
     match &line.command {
         Command::Serve(serve) => super::serve(serve.config.clone(), serve.take_over.clone(), serve.leave_in),
         Command::Check(check) => {
@@ -104,7 +104,7 @@
             println!("{} would serve on {}", read.name, read.listen);
             Ok(())
         }
-        Command::Ctl(ctl) => ctl.carry_out(),
+        Command::Ctl(ctl) => ctl.execute(),
         Command::Version(_) => {
             println!("dewhead {}", env!("CARGO_PKG_VERSION"));
             Ok(())
--- a/crates/dewhead-proxy/src/lifecycle/configuration.rs
+++ b/crates/dewhead-proxy/src/lifecycle/configuration.rs
@@ -22,32 +22,32 @@
     pub discovery: SocketAddr,
     pub seed: u128,
     /// The most that may be open at a time, by the limits on sockets and on memory.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// The list of servers as it was last had.
-    pub remembered: Value,
+    pub last_known_list: Value,
     pub startup: Startup,
     /// What of the settings is obeyed otherwise than its words say, a line each.
-    pub remarks: Vec<String>,
+    pub warnings: Vec<String>,
     /// Where operators ask and tell; nowhere if not told.
-    pub control: Option<PathBuf>,
-    pub fixed: Fixed,
+    pub control_socket: Option<PathBuf>,
+    pub restart_only: RestartOnlySettings,
 }
 
 /// What can't change while the proxy runs: standing connections and the balancer hang on it. `known` counts at a start
 /// alone, too, but the list held then is newer than any that a file has.
-pub struct Fixed(Vec<(String, Value)>);
+pub struct RestartOnlySettings(Vec<(String, Value)>);
 
-impl Fixed {
-    fn of(told: &Value) -> Fixed {
+impl RestartOnlySettings {
+    fn of(told: &Value) -> RestartOnlySettings {
         let one = |name: &str| (name.to_owned(), told[name].clone());
         let parts = told["settings"].as_object().into_iter().flatten();
         let parts = parts.map(|(name, part)| (format!("settings.{name}"), part.clone()));
-        Fixed(["name", "listen", "seed", "control"].map(one).into_iter().chain(parts).collect())
+        RestartOnlySettings(["name", "listen", "seed", "control"].map(one).into_iter().chain(parts).collect())
     }
 
     /// The keys that another has otherwise, or not at all, or alone.
-    pub fn differing<'a>(&'a self, other: &'a Fixed) -> Vec<&'a str> {
-        let lacks = |(a, b): (&'a Fixed, &Fixed)| {
+    pub fn differing_keys<'a>(&'a self, other: &'a RestartOnlySettings) -> Vec<&'a str> {
+        let lacks = |(a, b): (&'a RestartOnlySettings, &RestartOnlySettings)| {
             a.0.iter().filter(|one| !b.0.contains(one)).map(|(key, _)| key.as_str()).collect::<Vec<_>>()
         };
         let mut keys = [lacks((self, other)), lacks((other, self))].concat();
@@ -78,10 +78,10 @@
             .ok_or("no configuration: give --config FILE or set LB_CONFIG")?;
         let bytes = read(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let value: Value = serde_json::from_slice(&bytes).map_err(|e| format!("{}: {e}", path.display()))?;
-        Configuration::read(&value).map_err(|e| format!("{}: {e}", path.display()))
+        Configuration::from_json(&value).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    pub fn read(told: &Value) -> Outcome<Configuration> {
+    pub fn from_json(told: &Value) -> Outcome<Configuration> {
         let settings = |of| shape::check(of).and_then(|remarks| Ok((Startup::read(of)?, remarks)));
         let (startup, remarks) = field(told, "settings").and_then(settings).map_err(|e| {
             if told["settings"].is_null() {
@@ -116,12 +116,12 @@
             listen: address(told, "listen")?,
             discovery: address(told, "discovery")?,
             seed: u128::from(seed),
-            descriptors: descriptors as usize,
-            remembered,
+            max_descriptors: descriptors as usize,
+            last_known_list: remembered,
             startup,
-            remarks,
-            control: maybe(told, "control", text)?.map(PathBuf::from),
-            fixed: Fixed::of(told),
+            warnings: remarks,
+            control_socket: maybe(told, "control", text)?.map(PathBuf::from),
+            restart_only: RestartOnlySettings::of(told),
         })
     }
 }
--- a/crates/dewhead-proxy/src/lifecycle/mod.rs
+++ b/crates/dewhead-proxy/src/lifecycle/mod.rs
@@ -1,6 +1,6 @@
 //! Start and stop: the command line, the configuration, signals and the log.
 
-mod command;
+mod command_line;
 pub mod configuration;
 pub mod notify;
 pub mod signals;
@@ -8,15 +8,15 @@
 
 use crate::clock::Clock;
 use crate::control::predecessor::Predecessor;
+use crate::event_loop::{ConfigurationReloader, EventLoop, FaultLogging};
 use crate::memory::known;
 use crate::reducer::Reducer;
 use crate::transient::persist;
-use crate::turn::{Renewed, Report, Turn};
 use crate::wire::listing::listing;
-use configuration::{Configuration, Fixed};
+use configuration::{Configuration, RestartOnlySettings};
 use log::{error, info, warn};
 use mio::net::TcpListener;
-use notify::Notify;
+use notify::Notifier;
 use signals::Signals;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -25,8 +25,8 @@
 
 /// Runs the program; what it returns is the exit code.
 pub fn run() -> i32 {
-    let command = command::read();
-    match command::carry_out(&command) {
+    let command = command_line::parse();
+    match command_line::execute(&command) {
         Ok(()) => 0,
         Err(fault) => {
             // A log that can't be written changes nothing of the outcome.
@@ -38,7 +38,7 @@
 
 fn serve(path: Option<PathBuf>, take_over: Option<PathBuf>, leave_in: Option<f64>) -> Result<(), String> {
     // Before anything that takes time: a signal that nobody hears ends the process.
-    let signals = Signals::listen()?;
+    let signals = Signals::register()?;
     let read = Configuration::load_at_start(path.as_deref())?;
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
         .format_timestamp_millis()
@@ -48,18 +48,18 @@
         listen,
         discovery,
         seed,
-        descriptors,
-        remembered,
+        max_descriptors: descriptors,
+        last_known_list: remembered,
         startup,
-        remarks,
-        control,
-        fixed,
+        warnings: remarks,
+        control_socket: control,
+        restart_only: fixed,
     } = read;
     remarks.iter().for_each(|remark| warn!("settings: {remark}"));
     let clock = Clock::start();
     // From here on the other process serves until it is told that its place is taken; a fault before leaves it serving.
-    let before = take_over.as_deref().map(Predecessor::ask).transpose()?;
-    let handed = before.as_ref().and_then(|b| known::read(&b.handed));
+    let before = take_over.as_deref().map(Predecessor::request_handover).transpose()?;
+    let handed = before.as_ref().and_then(|b| known::read(&b.handover_state));
     if before.is_some() && handed.is_none() {
         warn!("what was handed on is of another version, and left aside");
     }
@@ -77,23 +77,23 @@
                 return Err(format!("the socket taken over is at {own}, and field 'listen' names {listen}"));
             }
             // It does not block: that is shared with the process that opened it.
-            let (listener, predecessor) = before.succeeded(leave_in)?;
+            let (listener, predecessor) = before.confirm_takeover(leave_in)?;
             (TcpListener::from_std(listener), Some(predecessor))
         }
         None => (listener(listen)?, None),
     };
     let again = path.clone();
-    let renewed: Renewed = Box::new(move |report| renew(path.as_deref(), &fixed, report));
-    let reloads = (signals.reload_bytes, renewed);
-    let mut turn = Turn::new(clock, reducer, listener, signals.stop_bytes, reloads)
+    let renewed: ConfigurationReloader = Box::new(move |report| renew(path.as_deref(), &fixed, report));
+    let reloads = (signals.reload_wakeup, renewed);
+    let mut turn = EventLoop::new(clock, reducer, listener, signals.stop_wakeup, reloads)
         .map_err(|e| format!("{listen}: {e}"))?;
-    turn.flags = Some(signals.flags);
+    turn.signal_flags = Some(signals.flags);
     if let Some(predecessor) = predecessor {
         turn.follow_predecessor(predecessor);
     }
-    turn.notify = Notify::from_environment();
+    turn.notifier = Notifier::from_environment();
     if take_over.is_some() {
-        turn.notify.tell(notify::Word::Process);
+        turn.notifier.send(notify::Notification::MainPid);
     }
     if let Some(control) = control {
         match turn.open_control_socket(&control) {
@@ -141,23 +141,27 @@
 }
 
 /// Reads the configuration again; a faulty one changes nothing.
-fn renew(path: Option<&Path>, running: &Fixed, report: Report) -> Option<(SocketAddr, usize)> {
+fn renew(
+    path: Option<&Path>,
+    running: &RestartOnlySettings,
+    report: FaultLogging,
+) -> Option<(SocketAddr, usize)> {
     let read = match Configuration::load(path) {
         Ok(read) => read,
         Err(fault) => {
-            if report == Report::Faults {
+            if report == FaultLogging::On {
                 error!("the new configuration is left aside, as it is faulty: {fault}");
             }
             return None;
         }
     };
-    let kept = running.differing(&read.fixed);
+    let kept = running.differing_keys(&read.restart_only);
     if !kept.is_empty() {
         warn!("the new configuration: {} can change at a restart only, and stays", kept.join(", "));
     }
     info!(
         "the new configuration holds: discovery {}, {} descriptors at most",
-        read.discovery, read.descriptors
+        read.discovery, read.max_descriptors
     );
-    Some((read.discovery, read.descriptors))
+    Some((read.discovery, read.max_descriptors))
 }
--- a/crates/dewhead-proxy/src/lifecycle/signals.rs
+++ b/crates/dewhead-proxy/src/lifecycle/signals.rs
@@ -11,9 +11,9 @@
 
 /// Whether signals of one kind have come since it was last asked.
 #[derive(Clone, Default)]
-pub struct Flag(Arc<AtomicBool>);
+pub struct SignalFlag(Arc<AtomicBool>);
 
-impl Flag {
+impl SignalFlag {
     /// Signals that came close together are one.
     pub fn take(&self) -> bool {
         self.0.swap(false, Ordering::AcqRel)
@@ -21,19 +21,19 @@
 }
 
 /// What signals ask for.
-pub struct Flags {
+pub struct SignalFlags {
     /// To end: SIGTERM and SIGINT.
-    pub stop: Flag,
+    pub stop: SignalFlag,
     /// To read the configuration again: SIGHUP.
-    pub reload: Flag,
+    pub reload: SignalFlag,
 }
 
 /// The signals that the process is told things by.
 pub struct Signals {
-    pub flags: Flags,
+    pub flags: SignalFlags,
     /// Where a byte comes for each.
-    pub stop_bytes: UnixStream,
-    pub reload_bytes: UnixStream,
+    pub stop_wakeup: UnixStream,
+    pub reload_wakeup: UnixStream,
 }
 
 impl Signals {
@@ -42,16 +42,16 @@
     /// # Errors
     ///
     /// No handler or socket is to be had.
-    pub fn listen() -> Result<Signals, String> {
-        let (stop, stop_bytes) = listen_for(&[SIGTERM, SIGINT])?;
-        let (reload, reload_bytes) = listen_for(&[SIGHUP])?;
-        Ok(Signals { flags: Flags { stop, reload }, stop_bytes, reload_bytes })
+    pub fn register() -> Result<Signals, String> {
+        let (stop, stop_wakeup) = listen_for(&[SIGTERM, SIGINT])?;
+        let (reload, reload_wakeup) = listen_for(&[SIGHUP])?;
+        Ok(Signals { flags: SignalFlags { stop, reload }, stop_wakeup, reload_wakeup })
     }
 }
 
-fn listen_for(signals: &[i32]) -> Result<(Flag, UnixStream), String> {
+fn listen_for(signals: &[i32]) -> Result<(SignalFlag, UnixStream), String> {
     let fault = |e| format!("signals: {e}");
-    let flag = Flag::default();
+    let flag = SignalFlag::default();
     let (bytes, sender) = persist(UnixStream::pair).map_err(fault)?;
     for signal in signals {
         let sender = persist(|| sender.try_clone()).map_err(fault)?;
--- a/crates/dewhead-proxy/src/lifecycle/stages.rs
+++ b/crates/dewhead-proxy/src/lifecycle/stages.rs
@@ -39,109 +39,115 @@
 
 /// What happens.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Told {
-    Listens,
+pub enum StageEvent {
+    Listening,
     /// Whether servers are known.
-    List(bool),
+    ServerListHeld(bool),
     /// To read the configuration again; then that it was read, well or not.
-    Renew,
-    Renewed,
-    Drain,
-    Undrain,
-    Stop,
+    ReloadRequested,
+    ReloadFinished,
+    DrainRequested,
+    UndrainRequested,
+    StopRequested,
     /// Another process has taken this one's place.
-    Succeeded,
+    SuccessorTookOver,
     /// Nothing is open any more, or time is up.
-    Over,
+    Finished,
 }
 
 /// What is to be done.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Act {
-    TellReady,
-    TellReloading,
-    TellStopping,
+pub enum StageAction {
+    NotifyReady,
+    NotifyReloading,
+    NotifyStopping,
     /// A word for those who look: the stage has changed.
-    TellStage,
-    ReadAgain,
+    ReportStage,
+    ReloadConfiguration,
     Drain,
     Undrain,
     Stop,
 }
 
 /// The machine.
-pub struct Life {
+pub struct StageMachine {
     stage: Stage,
     list: bool,
     /// Asked to read the configuration again before anybody could be served.
     renew_later: bool,
 }
 
-impl Default for Life {
-    fn default() -> Life {
-        Life { stage: Stage::Starting, list: false, renew_later: false }
+impl Default for StageMachine {
+    fn default() -> StageMachine {
+        StageMachine { stage: Stage::Starting, list: false, renew_later: false }
     }
 }
 
-impl Life {
+impl StageMachine {
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    fn to(&mut self, stage: Stage, acts: &[Act]) -> Vec<Act> {
+    fn to(&mut self, stage: Stage, acts: &[StageAction]) -> Vec<StageAction> {
         self.stage = stage;
-        acts.iter().copied().chain([Act::TellStage]).collect()
+        acts.iter().copied().chain([StageAction::ReportStage]).collect()
     }
 
     /// Where it serves from, by whether servers are known.
-    fn serving(&mut self) -> Vec<Act> {
+    fn serving(&mut self) -> Vec<StageAction> {
         if self.list {
-            self.to(Stage::Ready, &[Act::TellReady])
+            self.to(Stage::Ready, &[StageAction::NotifyReady])
         } else {
             self.to(Stage::Waiting, &[])
         }
     }
 
     /// The acts, in their order.
-    pub fn told(&mut self, told: Told) -> Vec<Act> {
-        if let Told::List(held) = told {
+    pub fn handle(&mut self, told: StageEvent) -> Vec<StageAction> {
+        if let StageEvent::ServerListHeld(held) = told {
             self.list = held;
         }
         match (self.stage, told) {
             (Stage::Stopped, _) => Vec::new(),
-            (Stage::Starting, Told::Listens) => {
+            (Stage::Starting, StageEvent::Listening) => {
                 let mut acts = self.serving();
                 if std::mem::take(&mut self.renew_later) {
-                    acts.extend(self.told(Told::Renew));
+                    acts.extend(self.handle(StageEvent::ReloadRequested));
                 }
                 acts
             }
-            (Stage::Starting, Told::Renew) => {
+            (Stage::Starting, StageEvent::ReloadRequested) => {
                 self.renew_later = true;
                 Vec::new()
             }
-            (Stage::Waiting, Told::List(true)) | (Stage::Ready, Told::List(false)) => self.serving(),
-            (Stage::Waiting | Stage::Ready, Told::Renew) => {
-                self.to(Stage::Reloading, &[Act::TellReloading, Act::ReadAgain])
+            (Stage::Waiting, StageEvent::ServerListHeld(true))
+            | (Stage::Ready, StageEvent::ServerListHeld(false)) => self.serving(),
+            (Stage::Waiting | Stage::Ready, StageEvent::ReloadRequested) => {
+                self.to(Stage::Reloading, &[StageAction::NotifyReloading, StageAction::ReloadConfiguration])
             }
             // One that sends its clients away still follows discovery where it has moved to.
-            (Stage::Draining | Stage::Retiring | Stage::Stopping, Told::Renew) => vec![Act::ReadAgain],
-            (Stage::Reloading, Told::Renewed) => self.serving(),
-            (Stage::Waiting | Stage::Ready, Told::Drain) => self.to(Stage::Draining, &[Act::Drain]),
-            (Stage::Draining, Told::Undrain) => {
-                let mut acts = vec![Act::Undrain];
+            (Stage::Draining | Stage::Retiring | Stage::Stopping, StageEvent::ReloadRequested) => {
+                vec![StageAction::ReloadConfiguration]
+            }
+            (Stage::Reloading, StageEvent::ReloadFinished) => self.serving(),
+            (Stage::Waiting | Stage::Ready, StageEvent::DrainRequested) => {
+                self.to(Stage::Draining, &[StageAction::Drain])
+            }
+            (Stage::Draining, StageEvent::UndrainRequested) => {
+                let mut acts = vec![StageAction::Undrain];
                 acts.extend(self.serving());
                 acts
             }
-            (Stage::Stopping, Told::Stop | Told::Succeeded) | (Stage::Retiring, Told::Succeeded) => {
-                Vec::new()
-            }
+            (Stage::Stopping, StageEvent::StopRequested | StageEvent::SuccessorTookOver)
+            | (Stage::Retiring, StageEvent::SuccessorTookOver) => Vec::new(),
             // The manager has been told of the other one; this one is no longer its business. Its signals are: taken for a
             // second stop, one was passed over, and the clients that were left were cut by SIGKILL.
-            (_, Told::Succeeded) => self.to(Stage::Retiring, &[]),
-            (Stage::Retiring, Told::Stop) => self.to(Stage::Stopping, &[Act::Stop]),
-            (_, Told::Stop) => self.to(Stage::Stopping, &[Act::TellStopping, Act::Stop]),
-            (Stage::Retiring | Stage::Stopping, Told::Over) => self.to(Stage::Stopped, &[]),
+            (_, StageEvent::SuccessorTookOver) => self.to(Stage::Retiring, &[]),
+            (Stage::Retiring, StageEvent::StopRequested) => self.to(Stage::Stopping, &[StageAction::Stop]),
+            (_, StageEvent::StopRequested) => {
+                self.to(Stage::Stopping, &[StageAction::NotifyStopping, StageAction::Stop])
+            }
+            (Stage::Retiring | Stage::Stopping, StageEvent::Finished) => self.to(Stage::Stopped, &[]),
             _ => Vec::new(),
         }
     }
--- a/crates/dewhead-proxy/tests/configuration.rs
+++ b/crates/dewhead-proxy/tests/configuration.rs
@@ -28,14 +28,14 @@
     for (key, change) in cases {
         let mut told = sound();
         change(&mut told);
-        let fault = Configuration::read(&told).err().expect(key);
+        let fault = Configuration::from_json(&told).err().expect(key);
         assert!(fault.contains(key) && !fault.contains('\n'), "{key}: {fault}");
     }
 }
 
 #[test]
 fn limits_have_defaults_and_memory_bounds_descriptors() {
-    let read = |told: &Value| Configuration::read(told).unwrap().descriptors;
+    let read = |told: &Value| Configuration::from_json(told).unwrap().max_descriptors;
     let mut told = sound();
     assert_eq!(read(&told), 2000);
     told["limits"]["memory_mb"] = json!(16);
@@ -47,13 +47,13 @@
 #[test]
 fn what_needs_a_restart_is_named() {
     let mut told = sound();
-    let (before, new) = (Configuration::read(&told).unwrap().fixed, json!("127.0.0.1:8501"));
+    let (before, new) = (Configuration::from_json(&told).unwrap().restart_only, json!("127.0.0.1:8501"));
     (told["discovery"], told["known"], told["limits"]["sockets"]) = (new.clone(), Value::Null, json!(900));
-    assert!(before.differing(&Configuration::read(&told).unwrap().fixed).is_empty());
+    assert!(before.differing_keys(&Configuration::from_json(&told).unwrap().restart_only).is_empty());
     (told["listen"], told["settings"]["deductions"]["moves"]) = (new, json!(0.5));
     told["settings"]["tenants"] = Value::Null;
-    let after = Configuration::read(&told).unwrap().fixed;
-    assert_eq!(before.differing(&after), ["listen", "settings.deductions", "settings.tenants"]);
+    let after = Configuration::from_json(&told).unwrap().restart_only;
+    assert_eq!(before.differing_keys(&after), ["listen", "settings.deductions", "settings.tenants"]);
 }
 
 /// What ktm-ingest's proxies are told, on top of the usual: weights that move with load, and reports on probes.
@@ -102,10 +102,10 @@
     for (at, (remarks, shape)) in shapes.into_iter().enumerate() {
         let mut told = sound();
         shape(&mut told);
-        let read = Configuration::read(&told);
+        let read = Configuration::from_json(&told);
         let read = read.unwrap_or_else(|fault| panic!("shape {at}: {fault}"));
-        assert_eq!(read.remarks.len(), remarks, "shape {at}: {:?}", read.remarks);
-        assert!(read.remarks.iter().all(|r| r.contains("field '") && !r.contains('\n')));
+        assert_eq!(read.warnings.len(), remarks, "shape {at}: {:?}", read.warnings);
+        assert!(read.warnings.iter().all(|r| r.contains("field '") && !r.contains('\n')));
     }
 }
 
@@ -134,11 +134,11 @@
         let mut told = sound();
         live(&mut told);
         change(&mut told);
-        let fault = Configuration::read(&told).err().expect(key);
+        let fault = Configuration::from_json(&told).err().expect(key);
         assert!(fault.contains(key) && !fault.contains('\n'), "{key}: {fault}");
     }
-    let (mut told, before) = (sound(), Configuration::read(&sound()).unwrap().fixed);
+    let (mut told, before) = (sound(), Configuration::from_json(&sound()).unwrap().restart_only);
     live(&mut told);
-    let after = Configuration::read(&told).unwrap().fixed;
-    assert_eq!(before.differing(&after), ["settings.feedback", "settings.limits", "settings.weights"]);
+    let after = Configuration::from_json(&told).unwrap().restart_only;
+    assert_eq!(before.differing_keys(&after), ["settings.feedback", "settings.limits", "settings.weights"]);
 }
--- a/crates/dewhead-proxy/tests/sockets.rs
+++ b/crates/dewhead-proxy/tests/sockets.rs
@@ -6,8 +6,8 @@
 use common::loopback::line;
 use common::{list, settings, ZONES};
 use dewhead_proxy::clock::Clock;
+use dewhead_proxy::event_loop::EventLoop;
 use dewhead_proxy::reducer::Reducer;
-use dewhead_proxy::turn::Turn;
 use dewhead_startup::Startup;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -65,7 +65,7 @@
         let startup = Startup::read(&settings).unwrap();
         let reducer = Reducer::new(clock.now(), startup, 3, discovery, 256, &Value::Null);
         let (_, never) = UnixStream::pair().unwrap();
-        Turn::new(clock, reducer, ours, theirs, (never, Box::new(|_| None))).unwrap().run().unwrap();
+        EventLoop::new(clock, reducer, ours, theirs, (never, Box::new(|_| None))).unwrap().run().unwrap();
     });
     loop {
         let Ok(mut socket) = TcpStream::connect(at) else { continue };
--- a/crates/dewhead-proxy/tests/stages.rs
+++ b/crates/dewhead-proxy/tests/stages.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{host, list, settings, Stand};
-use dewhead_proxy::control::words::{self, Request};
-use dewhead_proxy::lifecycle::stages::{Act, Life, Stage, Told};
+use dewhead_proxy::control::protocol::{self, Request};
+use dewhead_proxy::lifecycle::stages::{Stage, StageAction, StageEvent, StageMachine};
 use dewhead_proxy::reducer::Event;
 use serde_json::json;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,71 +15,121 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const ALL: [Told; 10] = [
-    Told::Listens,
-    Told::List(true),
-    Told::List(false),
-    Told::Renew,
-    Told::Renewed,
-    Told::Drain,
-    Told::Undrain,
-    Told::Stop,
-    Told::Succeeded,
-    Told::Over,
+const ALL: [StageEvent; 10] = [
+    StageEvent::Listening,
+    StageEvent::ServerListHeld(true),
+    StageEvent::ServerListHeld(false),
+    StageEvent::ReloadRequested,
+    StageEvent::ReloadFinished,
+    StageEvent::DrainRequested,
+    StageEvent::UndrainRequested,
+    StageEvent::StopRequested,
+    StageEvent::SuccessorTookOver,
+    StageEvent::Finished,
 ];
 
-fn life(told: &[Told]) -> (Stage, Vec<Act>) {
-    let mut life = Life::default();
-    let acts = told.iter().flat_map(|t| life.told(*t)).filter(|a| *a != Act::TellStage).collect();
+fn life(told: &[StageEvent]) -> (Stage, Vec<StageAction>) {
+    let mut life = StageMachine::default();
+    let acts = told.iter().flat_map(|t| life.handle(*t)).filter(|a| *a != StageAction::ReportStage).collect();
     (life.stage(), acts)
 }
 
 #[test]
 fn readiness_waits_for_a_list() {
-    assert_eq!(life(&[Told::Listens]), (Stage::Waiting, vec![]));
-    assert_eq!(life(&[Told::Listens, Told::List(true)]), (Stage::Ready, vec![Act::TellReady]));
-    assert_eq!(life(&[Told::List(true), Told::Listens]), (Stage::Ready, vec![Act::TellReady]));
-    assert_eq!(life(&[Told::Listens, Told::List(true), Told::List(false)]).0, Stage::Waiting);
+    assert_eq!(life(&[StageEvent::Listening]), (Stage::Waiting, vec![]));
+    assert_eq!(
+        life(&[StageEvent::Listening, StageEvent::ServerListHeld(true)]),
+        (Stage::Ready, vec![StageAction::NotifyReady])
+    );
+    assert_eq!(
+        life(&[StageEvent::ServerListHeld(true), StageEvent::Listening]),
+        (Stage::Ready, vec![StageAction::NotifyReady])
+    );
+    assert_eq!(
+        life(&[StageEvent::Listening, StageEvent::ServerListHeld(true), StageEvent::ServerListHeld(false)]).0,
+        Stage::Waiting
+    );
 }
 
 #[test]
 fn a_reload_asked_for_too_early_comes_later_and_one_while_stopping_tells_nothing() {
-    let early = life(&[Told::Renew, Told::List(true), Told::Listens, Told::Renewed]);
+    let early = life(&[
+        StageEvent::ReloadRequested,
+        StageEvent::ServerListHeld(true),
+        StageEvent::Listening,
+        StageEvent::ReloadFinished,
+    ]);
     assert_eq!(
         early,
-        (Stage::Ready, vec![Act::TellReady, Act::TellReloading, Act::ReadAgain, Act::TellReady])
+        (
+            Stage::Ready,
+            vec![
+                StageAction::NotifyReady,
+                StageAction::NotifyReloading,
+                StageAction::ReloadConfiguration,
+                StageAction::NotifyReady
+            ]
+        )
+    );
+    let late = life(&[
+        StageEvent::Listening,
+        StageEvent::StopRequested,
+        StageEvent::ReloadRequested,
+        StageEvent::ReloadFinished,
+        StageEvent::StopRequested,
+    ]);
+    assert_eq!(
+        late,
+        (
+            Stage::Stopping,
+            vec![StageAction::NotifyStopping, StageAction::Stop, StageAction::ReloadConfiguration]
+        )
     );
-    let late = life(&[Told::Listens, Told::Stop, Told::Renew, Told::Renewed, Told::Stop]);
-    assert_eq!(late, (Stage::Stopping, vec![Act::TellStopping, Act::Stop, Act::ReadAgain]));
-    let cut = life(&[Told::Listens, Told::List(true), Told::Renew, Told::Stop, Told::Renewed, Told::Over]);
+    let cut = life(&[
+        StageEvent::Listening,
+        StageEvent::ServerListHeld(true),
+        StageEvent::ReloadRequested,
+        StageEvent::StopRequested,
+        StageEvent::ReloadFinished,
+        StageEvent::Finished,
+    ]);
     assert_eq!(cut.0, Stage::Stopped, "a stop in the middle of a reload");
 }
 
 #[test]
 fn from_every_stage_a_stop_leads_to_the_end_and_nothing_leads_back() {
     // All words of up to five things told, from the beginning.
-    let mut words: Vec<Vec<Told>> = vec![Vec::new()];
+    let mut words: Vec<Vec<StageEvent>> = vec![Vec::new()];
     for _ in 0..5 {
         let longer =
             words.iter().flat_map(|w| ALL.map(|t| [w.clone(), vec![t]].concat())).collect::<Vec<_>>();
         words = longer;
         for word in &words {
             let (stage, acts) = life(word);
-            let stops = acts.iter().filter(|a| **a == Act::Stop).count();
-            let last = word.iter().position(|t| matches!(t, Told::Stop | Told::Succeeded));
+            let stops = acts.iter().filter(|a| **a == StageAction::Stop).count();
+            let last = word
+                .iter()
+                .position(|t| matches!(t, StageEvent::StopRequested | StageEvent::SuccessorTookOver));
             // A process that retires is stopped by a signal like any other, while it is there.
-            let over = last.and_then(|at| word[at..].iter().position(|t| *t == Told::Over).map(|n| at + n));
-            let signalled = word[..over.unwrap_or(word.len())].contains(&Told::Stop);
+            let over = last
+                .and_then(|at| word[at..].iter().position(|t| *t == StageEvent::Finished).map(|n| at + n));
+            let signalled = word[..over.unwrap_or(word.len())].contains(&StageEvent::StopRequested);
             assert_eq!(stops, usize::from(signalled), "{word:?}");
             let ended = matches!(stage, Stage::Retiring | Stage::Stopping | Stage::Stopped);
             assert_eq!(ended, last.is_some(), "{word:?}: {stage:?}");
-            let after = acts.iter().skip_while(|a| **a != Act::Stop);
+            let after = acts.iter().skip_while(|a| **a != StageAction::Stop);
             assert!(
-                !after.clone().any(|a| matches!(a, Act::TellReady | Act::Drain | Act::Undrain)),
+                !after.clone().any(|a| matches!(
+                    a,
+                    StageAction::NotifyReady | StageAction::Drain | StageAction::Undrain
+                )),
                 "{word:?}"
             );
-            if acts.contains(&Act::TellReady) {
-                assert!(word.contains(&Told::List(true)) && word.contains(&Told::Listens), "{word:?}");
+            if acts.contains(&StageAction::NotifyReady) {
+                assert!(
+                    word.contains(&StageEvent::ServerListHeld(true)) && word.contains(&StageEvent::Listening),
+                    "{word:?}"
+                );
             }
         }
     }
@@ -118,8 +168,11 @@
 
 #[test]
 fn requests_are_read_and_faults_name_what_is_wrong() {
-    assert_eq!(words::request(r#"{"do":"status"}"#), Ok(Request::Status));
-    assert_eq!(words::request(words::line("drain", Some(3.0), None).trim()), Ok(Request::Drain(Some(3.0))));
+    assert_eq!(protocol::parse_request(r#"{"do":"status"}"#), Ok(Request::Status));
+    assert_eq!(
+        protocol::parse_request(protocol::format_request("drain", Some(3.0), None).trim()),
+        Ok(Request::Drain(Some(3.0)))
+    );
     for (line, named) in [
         ("status", "JSON"),
         ("{}", "'do'"),
@@ -128,7 +181,7 @@
         (r#"{"do":"drain","seconds":-1}"#, "'seconds'"),
         (r#"{"do":"drain","seconds":"x"}"#, "'seconds'"),
     ] {
-        assert!(words::request(line).unwrap_err().contains(named), "{line}");
+        assert!(protocol::parse_request(line).unwrap_err().contains(named), "{line}");
     }
 }
 
