--- a/crates/dewhead-lab/src/plain.rs
+++ b/crates/dewhead-lab/src/plain.rs
@@ -5,11 +5,11 @@
 use crate::simulated::Proxy;
 use dewhead::terms::{Effect as Repeat, Group, State, TrafficType};
 use dewhead_proxy::reducer::{Effect, End, Event, How};
-use dewhead_proxy::wire::answers::{word, Word};
-use dewhead_proxy::wire::head::{opening, Opening};
-use dewhead_proxy::wire::http::Answer;
-use dewhead_proxy::wire::lines::{first, trimmed, Lines};
-use dewhead_proxy::wire::listing::{listing, number_of};
+use dewhead_proxy::wire::answers::{parse_server_message, ServerMessage};
+use dewhead_proxy::wire::first_line::{parse_first_line, FirstLine};
+use dewhead_proxy::wire::http::WatchResponse;
+use dewhead_proxy::wire::lines::{first_line_end, trim_line_end, LineScanner};
+use dewhead_proxy::wire::server_list::{parse_list, server_id};
 use dewhead_startup::{Known, Startup};
 use dewhead_world::experiment::Experiment;
 use oorandom::Rand64;
@@ -99,7 +99,7 @@
     /// Its oldest line that has brought nothing back, and its load as told.
     unanswered: Option<f64>,
     load: f64,
-    down: Lines,
+    down: LineScanner,
     moving: bool,
     timer: u64,
     /// Tells this holder of the slot from later ones.
@@ -162,7 +162,7 @@
     legs: Slab<Leg>,
     serial: u64,
     timers: BTreeMap<(u64, u64), Due>,
-    answer: Option<Answer>,
+    answer: Option<WatchResponse>,
     version: u64,
     discovery: SocketAddr,
     stopping: Option<f64>,
@@ -249,7 +249,7 @@
     }
 
     fn list(&mut self, now: f64, told: &Value) {
-        let Ok((version, whole, entries)) = listing(told, &self.known.zones) else { return };
+        let Ok((version, whole, entries)) = parse_list(told, &self.known.zones) else { return };
         self.version = version;
         let names: Vec<String> = told["hosts"]
             .as_array()
@@ -497,7 +497,7 @@
         if session.stage != Stage::Standing {
             return;
         }
-        if session.down.between() {
+        if session.down.is_between_lines() {
             self.part(now, key, b"MOVE\r\n");
         } else {
             session.moving = true;
@@ -509,28 +509,28 @@
         match session.stage {
             Stage::Greeting => {
                 session.head.extend_from_slice(bytes);
-                let end = match first(&session.head) {
+                let end = match first_line_end(&session.head) {
                     Ok(Some(end)) => end,
                     Ok(None) => return,
                     Err(_) => return self.part(now, key, b"ERR\r\n"),
                 };
                 let known = (&self.known, self.groups);
-                match opening(&session.head[..end], now, self.longest_guard, known.0, known.1) {
-                    Ok(Opening::Ping) => {
+                match parse_first_line(&session.head[..end], now, self.longest_guard, known.0, known.1) {
+                    Ok(FirstLine::Ping) => {
                         session.head.drain(..end);
                         if self.stopping.is_some() || self.nodes.is_empty() {
                             return self.part(now, key, b"");
                         }
                         self.effects.push(Effect::Text(End::Client(key), b"PONG\r\n".to_vec()));
                     }
-                    Ok(Opening::Open { wanted, wait, held_at, .. }) => {
-                        session.wait = wait;
+                    Ok(FirstLine::Open { wanted, wait_range, server_range, .. }) => {
+                        session.wait = wait_range;
                         session.kind = wanted.traffic;
                         session.until = wanted.until;
                         session.target = now + self.traffic[wanted.traffic].setup_target;
                         session.load = wanted.hint.unwrap_or(0.0);
-                        let at =
-                            held_at.map(|at| std::str::from_utf8(&session.head[at]).map_or(0, number_of));
+                        let at = server_range
+                            .map(|at| std::str::from_utf8(&session.head[at]).map_or(0, server_id));
                         session.at = at;
                         session.stage = Stage::Calling;
                         if self.broken(Fault::ForgetsCalls) {
@@ -592,9 +592,9 @@
             return;
         }
         one.answer.extend_from_slice(bytes);
-        let Ok(Some(end)) = first(&one.answer) else { return };
-        match word(trimmed(&one.answer[..end])) {
-            Word::Up => {
+        let Ok(Some(end)) = first_line_end(&one.answer) else { return };
+        match parse_server_message(trim_line_end(&one.answer[..end])) {
+            ServerMessage::Up => {
                 one.up = true;
                 let said = std::mem::take(&mut one.answer);
                 let session = &mut self.sessions[key];
@@ -608,7 +608,7 @@
                     self.set_leave(key, at);
                 }
             }
-            Word::Busy => self.leg_over(now, leg, false),
+            ServerMessage::Busy => self.leg_over(now, leg, false),
             _ => self.leg_over(now, leg, true),
         }
     }
@@ -737,9 +737,9 @@
 fn read_along(session: &mut Session, bytes: &[u8]) -> bool {
     let mut farewell = false;
     let (load, unanswered) = (&mut session.load, &mut session.unanswered);
-    session.down.feed(bytes, |line, _| match word(line) {
-        Word::Load(told) => *load = told,
-        Word::Bye | Word::Move => farewell = true,
+    session.down.feed(bytes, |line, _| match parse_server_message(line) {
+        ServerMessage::Load(told) => *load = told,
+        ServerMessage::Bye | ServerMessage::Move => farewell = true,
         _ => *unanswered = None,
     });
     farewell
@@ -764,7 +764,7 @@
                     ran: None,
                     unanswered: None,
                     load: 0.0,
-                    down: Lines::default(),
+                    down: LineScanner::default(),
                     moving: false,
                     timer: serial,
                     born: serial,
@@ -804,7 +804,7 @@
                 session.timer = serial;
                 self.set(until, Due::Leg(leg, serial));
             }
-            Event::WatchOpen => self.answer = Some(Answer::default()),
+            Event::WatchOpen => self.answer = Some(WatchResponse::default()),
             Event::Watch(bytes) => {
                 let Some(mut answer) = self.answer.take() else { return };
                 let mut lists: Vec<Value> = Vec::new();
--- a/crates/dewhead-lab/src/scale/hollow.rs
+++ b/crates/dewhead-lab/src/scale/hollow.rs
@@ -324,7 +324,7 @@
         });
         match opened {
             Ok(socket) => {
-                let asks = http::follow(&discovery.to_string(), since);
+                let asks = http::watch_request(&discovery.to_string(), since);
                 self.hollows[at].link = Some((socket, asks, true));
             }
             Err(_) => self.step(at, Event::WatchLost, For::Watch),
--- a/crates/dewhead-lab/src/scale/run.rs
+++ b/crates/dewhead-lab/src/scale/run.rs
@@ -150,7 +150,7 @@
     if trouble == Some(Trouble::SlowReader) {
         // Asks, and never reads.
         let mut socket = TcpStream::connect(standin.followed[0]).map_err(|e| e.to_string())?;
-        let asks = dewhead_proxy::wire::http::follow("slow", 0);
+        let asks = dewhead_proxy::wire::http::watch_request("slow", 0);
         socket.write_all(&asks).map_err(|e| e.to_string())?;
         idle = Some(socket);
     }
--- a/crates/dewhead-lab/src/simulated.rs
+++ b/crates/dewhead-lab/src/simulated.rs
@@ -3,8 +3,8 @@
 
 use crate::plain::{Fault, Plain};
 use crate::policy::{self, Policy, Truths};
-use dewhead_proxy::memory::known;
 use dewhead_proxy::reducer::{Effect, End, Event, How, Reducer};
+use dewhead_proxy::state::handover_state;
 use dewhead_proxy::wire::http;
 use dewhead_startup::Startup;
 use dewhead_world::discovery::EPOCH;
@@ -252,7 +252,7 @@
                 Some((p, At::Leg(leg))) => self.tell(p, clock, Event::Connected(leg), &[]),
                 Some((p, At::Watch)) => {
                     let since = self.processes[p].as_ref().map_or(0, |one| one.since);
-                    self.world.said(self.now, key, &http::follow("discovery", since));
+                    self.world.said(self.now, key, &http::watch_request("discovery", since));
                     self.tell(p, clock, Event::WatchOpen, &[]);
                 }
                 _ => {}
@@ -321,13 +321,13 @@
         let Some(handed) = self.processes[old].as_ref().and_then(|one| one.proxy.hand_on(clock)) else {
             return;
         };
-        let Some(handed) = known::read(&handed) else { return };
+        let Some(handed) = handover_state::decode(&handed) else { return };
         let list = handed.list.clone();
         self.begin(p, &list, Some(&handed));
         self.tell(old, clock, Event::Retire(leave_in), &[]);
     }
 
-    fn begin(&mut self, p: usize, known: &Value, handed: Option<&known::Handed>) {
+    fn begin(&mut self, p: usize, known: &Value, handed: Option<&handover_state::HandoverState>) {
         let clock = self.clock();
         let (of, seed) = (&self.world.of, u128::from(self.world.proxy_seed(p)));
         let startup = Startup::read(&settings(of, p)).expect("the settings are the world's own");
--- a/crates/dewhead-proxy/src/clock.rs
+++ b/crates/dewhead-proxy/src/clock.rs
@@ -28,7 +28,7 @@
 
     /// By how many seconds the wall clock is ahead of this one: what it has been stepped by since the start. `None` where
     /// the process was held up between reading the two.
-    pub fn wall_ahead(&self) -> Option<f64> {
+    pub fn wall_clock_offset(&self) -> Option<f64> {
         let before = Instant::now();
         let wall = wall();
         let own = self.now();
--- a/crates/dewhead-proxy/src/control/ask.rs
+++ b/crates/dewhead-proxy/src/control/ask.rs
@@ -1,7 +1,7 @@
 //! Asking a running proxy, for `dewhead ctl`.
 
 use super::words;
-use crate::transient::persist;
+use crate::transient::retry_transient;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
@@ -19,7 +19,7 @@
     program: Option<&str>,
 ) -> Result<Value, String> {
     let fault = |e: std::io::Error| format!("{}: {e}", socket.display());
-    let mut stream = persist(|| UnixStream::connect(socket)).map_err(fault)?;
+    let mut stream = retry_transient(|| UnixStream::connect(socket)).map_err(fault)?;
     stream.set_read_timeout(Some(PATIENCE)).map_err(fault)?;
     stream.set_write_timeout(Some(PATIENCE)).map_err(fault)?;
     stream.write_all(words::line(action, seconds, program).as_bytes()).map_err(fault)?;
--- a/crates/dewhead-proxy/src/control/predecessor.rs
+++ b/crates/dewhead-proxy/src/control/predecessor.rs
@@ -3,7 +3,7 @@
 
 use super::ask::{understood, PATIENCE};
 use super::words;
-use crate::transient::persist;
+use crate::transient::retry_transient;
 use mio::net::UnixStream;
 use mio::{Interest, Registry, Token};
 use rustix::io::Errno;
@@ -33,7 +33,7 @@
     /// One line that names the socket: nobody answers there, or the process hands nothing on.
     pub fn ask(socket: &Path) -> Result<Predecessor, String> {
         let fault = |e: io::Error| format!("{}: {e}", socket.display());
-        let mut stream = persist(|| BlockingUnixStream::connect(socket)).map_err(fault)?;
+        let mut stream = retry_transient(|| BlockingUnixStream::connect(socket)).map_err(fault)?;
         stream.set_read_timeout(Some(PATIENCE)).map_err(fault)?;
         stream.write_all(words::line("succeed", None, None).as_bytes()).map_err(fault)?;
         let mut listener = None;
--- a/crates/dewhead-proxy/src/guard.rs
+++ b/crates/dewhead-proxy/src/guard.rs
@@ -14,50 +14,50 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Violation {
     /// A request was to be sent for a client that no longer waits for it.
-    SentForNobody,
+    SentWithoutClient,
     /// A request was to be sent after its time.
-    SentLate,
+    SentAfterDeadline,
     /// A request was to be sent to a server that is not ready.
-    SentToWithdrawnServer,
+    SentToUnreadyServer,
     /// A second attempt was to overlap one that is out, where that is not allowed.
-    Overlapped,
+    OverlappingAttempts,
     /// A request that may have run was to be sent where a repeat is not known to be harmless.
-    RepeatedUnsafely,
+    UnsafeRepeat,
     /// A connection was closed with a request read and no answer given.
     ClosedUnanswered,
     /// A standing connection was closed without `MOVE` while its server answered.
-    CutOff,
+    CutWithoutMove,
     /// A server in slow start was sent more by this proxy than all proxies together may send it.
     SlowStartExceeded,
     /// A process ended before its predecessor, with which a supervisor may kill clients that were not told to move.
-    PredecessorLeft,
+    EndedBeforePredecessor,
 }
 
 impl Violation {
     pub const ALL: [Violation; 9] = [
-        Violation::SentForNobody,
-        Violation::SentLate,
-        Violation::SentToWithdrawnServer,
-        Violation::Overlapped,
-        Violation::RepeatedUnsafely,
+        Violation::SentWithoutClient,
+        Violation::SentAfterDeadline,
+        Violation::SentToUnreadyServer,
+        Violation::OverlappingAttempts,
+        Violation::UnsafeRepeat,
         Violation::ClosedUnanswered,
-        Violation::CutOff,
+        Violation::CutWithoutMove,
         Violation::SlowStartExceeded,
-        Violation::PredecessorLeft,
+        Violation::EndedBeforePredecessor,
     ];
 
     /// The name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
-            Violation::SentForNobody => "sent_for_nobody",
-            Violation::SentLate => "sent_late",
-            Violation::SentToWithdrawnServer => "sent_to_withdrawn_server",
-            Violation::Overlapped => "overlapped",
-            Violation::RepeatedUnsafely => "repeated_unsafely",
+            Violation::SentWithoutClient => "sent_for_nobody",
+            Violation::SentAfterDeadline => "sent_late",
+            Violation::SentToUnreadyServer => "sent_to_withdrawn_server",
+            Violation::OverlappingAttempts => "overlapped",
+            Violation::UnsafeRepeat => "repeated_unsafely",
             Violation::ClosedUnanswered => "closed_unanswered",
-            Violation::CutOff => "cut_off",
+            Violation::CutWithoutMove => "cut_off",
             Violation::SlowStartExceeded => "slow_start_exceeded",
-            Violation::PredecessorLeft => "predecessor_left",
+            Violation::EndedBeforePredecessor => "predecessor_left",
         }
     }
 }
@@ -69,37 +69,37 @@
 }
 
 /// What is known in the moment before a request's first byte is written.
-pub struct Sending {
-    pub client_waits: bool,
-    pub in_time: bool,
+pub struct SendFacts {
+    pub client_waiting: bool,
+    pub before_deadline: bool,
     pub server_ready: bool,
 }
 
 /// Where and when an attempt that may have run was sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub at: f64,
     pub zone: usize,
     pub cell: u64,
 }
 
 /// What is known before a further attempt. Times are seconds.
-pub struct Repeating {
+pub struct RepeatFacts {
     pub effect: Effect,
     /// How long a repeat is recognised.
-    pub window: f64,
+    pub repeat_window: f64,
     /// Attempts that are out, and whether two may be.
-    pub out: usize,
+    pub attempts_out: usize,
     pub two_at_once: bool,
     /// The first attempt that may have run.
-    pub ran: Option<Sent>,
+    pub may_have_run: Option<SentAttempt>,
     /// Where the further one would go.
-    pub to: Sent,
+    pub target: SentAttempt,
 }
 
 /// What a connection's client is owed when it is closed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Owed {
+pub enum PendingReply {
     Nothing,
     /// A request was read.
     Answer,
@@ -124,24 +124,24 @@
     }
 
     /// Counts a violation, tells it in the log and returns it.
-    pub fn violated(&mut self, violation: Violation, who: &dyn fmt::Display) -> Violation {
+    pub fn record_violation(&mut self, violation: Violation, who: &dyn fmt::Display) -> Violation {
         self.counts[violation as usize] += 1;
         error!("invariant violated: {violation}: {who}");
         violation
     }
 
     fn check(&mut self, found: Option<Violation>, who: &dyn fmt::Display) -> Result<(), Violation> {
-        found.map_or(Ok(()), |violation| Err(self.violated(violation, who)))
+        found.map_or(Ok(()), |violation| Err(self.record_violation(violation, who)))
     }
 
     /// # Errors
     ///
     /// The promise that sending the request would break; it must not be sent.
-    pub fn may_send(&mut self, facts: &Sending, who: &dyn fmt::Display) -> Result<(), Violation> {
+    pub fn may_send(&mut self, facts: &SendFacts, who: &dyn fmt::Display) -> Result<(), Violation> {
         let found = match facts {
-            Sending { client_waits: false, .. } => Some(Violation::SentForNobody),
-            Sending { in_time: false, .. } => Some(Violation::SentLate),
-            Sending { server_ready: false, .. } => Some(Violation::SentToWithdrawnServer),
+            SendFacts { client_waiting: false, .. } => Some(Violation::SentWithoutClient),
+            SendFacts { before_deadline: false, .. } => Some(Violation::SentAfterDeadline),
+            SendFacts { server_ready: false, .. } => Some(Violation::SentToUnreadyServer),
             _ => None,
         };
         self.check(found, who)
@@ -150,48 +150,53 @@
     /// # Errors
     ///
     /// The promise that a further attempt would break; it must not be made.
-    pub fn may_repeat(&mut self, facts: &Repeating, who: &dyn fmt::Display) -> Result<(), Violation> {
-        let overlaps = facts.out > 0 && !(facts.two_at_once && facts.effect == Effect::Repeatable);
-        let unsafely = facts.ran.is_some_and(|ran| !facts.is_known_at(ran));
+    pub fn may_repeat(&mut self, facts: &RepeatFacts, who: &dyn fmt::Display) -> Result<(), Violation> {
+        let overlaps = facts.attempts_out > 0 && !(facts.two_at_once && facts.effect == Effect::Repeatable);
+        let unsafely = facts.may_have_run.is_some_and(|ran| !facts.is_known_at(ran));
         let found = match () {
-            () if overlaps => Some(Violation::Overlapped),
-            () if unsafely => Some(Violation::RepeatedUnsafely),
+            () if overlaps => Some(Violation::OverlappingAttempts),
+            () if unsafely => Some(Violation::UnsafeRepeat),
             () => None,
         };
         self.check(found, who)
     }
 
     /// Counts a close that leaves something owed.
-    pub fn closes(&mut self, owed: Owed, who: &dyn fmt::Display) {
+    pub fn check_close(&mut self, owed: PendingReply, who: &dyn fmt::Display) {
         match owed {
-            Owed::Nothing => {}
-            Owed::Answer => _ = self.violated(Violation::ClosedUnanswered, who),
-            Owed::Move => _ = self.violated(Violation::CutOff, who),
+            PendingReply::Nothing => {}
+            PendingReply::Answer => _ = self.record_violation(Violation::ClosedUnanswered, who),
+            PendingReply::Move => _ = self.record_violation(Violation::CutWithoutMove, who),
         }
     }
 
     /// # Errors
     ///
     /// This proxy alone would send a server in slow start more in a window than all may.
-    pub fn may_start(&mut self, sent: usize, most: f64, who: &dyn fmt::Display) -> Result<(), Violation> {
+    pub fn may_send_in_slow_start(
+        &mut self,
+        sent: usize,
+        most: f64,
+        who: &dyn fmt::Display,
+    ) -> Result<(), Violation> {
         let found = (sent as f64 >= most.max(1.0)).then_some(Violation::SlowStartExceeded);
         self.check(found, who)
     }
 }
 
-impl Repeating {
+impl RepeatFacts {
     /// Whether the server would know the request for a repeat of the one that was sent there before.
-    fn is_known_at(&self, ran: Sent) -> bool {
+    fn is_known_at(&self, ran: SentAttempt) -> bool {
         match self.effect {
             Effect::Repeatable => true,
             Effect::OnceOnly => false,
             Effect::Referenced(group) => {
                 let in_group = match group {
                     Group::All => true,
-                    Group::Zone => ran.zone == self.to.zone,
-                    Group::Cell => ran.zone == self.to.zone && ran.cell == self.to.cell,
+                    Group::Zone => ran.zone == self.target.zone,
+                    Group::Cell => ran.zone == self.target.zone && ran.cell == self.target.cell,
                 };
-                in_group && self.to.at - ran.at < self.window
+                in_group && self.target.at - ran.at < self.repeat_window
             }
         }
     }
--- a/crates/dewhead-proxy/src/guard/cold_start.rs
+++ b/crates/dewhead-proxy/src/guard/cold_start.rs
@@ -13,22 +13,22 @@
 pub struct ColdStartLimit {
     terms: SlowStartTerms,
     /// The most connections that a unit of weight has carried for this proxy, near or far.
-    carried: f64,
+    max_connections_per_weight: f64,
     /// The most weight that was ready at a time.
-    weight: f64,
+    max_ready_weight: f64,
 }
 
 /// What this proxy holds at a group of servers.
 #[derive(Clone, Copy, Debug)]
-pub struct Carried {
+pub struct LocationLoad {
     pub connections: usize,
     /// Of the servers that are ready.
-    pub weight: f64,
+    pub ready_weight: f64,
 }
 
 impl ColdStartLimit {
     pub fn new(terms: SlowStartTerms) -> ColdStartLimit {
-        ColdStartLimit { terms, carried: 0.0, weight: 0.0 }
+        ColdStartLimit { terms, max_connections_per_weight: 0.0, max_ready_weight: 0.0 }
     }
 
     /// A window's length, in seconds.
@@ -42,21 +42,22 @@
     }
 
     /// Takes in what each location's servers carry now.
-    pub fn observe(&mut self, locations: &[Carried]) {
-        let weight: f64 = locations.iter().map(|one| one.weight).sum();
-        self.weight = self.weight.max(weight);
-        for one in locations.iter().filter(|one| one.weight > 0.0) {
-            self.carried = self.carried.max(one.connections as f64 / one.weight);
+    pub fn observe(&mut self, locations: &[LocationLoad]) {
+        let weight: f64 = locations.iter().map(|one| one.ready_weight).sum();
+        self.max_ready_weight = self.max_ready_weight.max(weight);
+        for one in locations.iter().filter(|one| one.ready_weight > 0.0) {
+            self.max_connections_per_weight =
+                self.max_connections_per_weight.max(one.connections as f64 / one.ready_weight);
         }
     }
 
     /// The most requests that all proxies may send in a window to a server of this weight and age.
-    pub fn most(&self, weight: f64, age: f64) -> f64 {
+    pub fn max_requests(&self, weight: f64, age: f64) -> f64 {
         let terms = &self.terms;
         let present = terms.cold_share + (1.0 - terms.cold_share) * (age / terms.warm_after).clamp(0.0, 1.0);
-        let agreed = if self.weight > 0.0 { terms.agreed / self.weight } else { 0.0 };
+        let agreed = if self.max_ready_weight > 0.0 { terms.agreed / self.max_ready_weight } else { 0.0 };
         // What fills a server of this size when it is warm: as much as others of its size carry.
-        let fills = weight * agreed.max(self.carried * terms.proxies);
+        let fills = weight * agreed.max(self.max_connections_per_weight * terms.proxies);
         let allowed = terms.multiple * terms.window * present * fills / terms.warm_after;
         let (roots, more) = if allowed < FEW { CHANCE_OF_FEW } else { CHANCE };
         allowed + roots * allowed.sqrt() + more
--- a/crates/dewhead-proxy/src/lifecycle/configuration.rs
+++ b/crates/dewhead-proxy/src/lifecycle/configuration.rs
@@ -1,7 +1,7 @@
 //! The one place where the configuration is read, checked and given its defaults.
 
-use crate::transient::persist;
-use crate::wire::listing::listing;
+use crate::transient::retry_transient;
+use crate::wire::server_list::parse_list;
 use dewhead_startup::fields::{field, maybe, text, whole, wrong, Outcome};
 use dewhead_startup::{shape, Startup};
 use serde_json::Value;
@@ -60,7 +60,7 @@
 impl Configuration {
     /// As `load`, for a process that can't start without it: a file that can't be read for a moment is read again.
     pub fn load_at_start(path: Option<&Path>) -> Result<Configuration, String> {
-        Configuration::load_by(path, |path| persist(|| std::fs::read(path)))
+        Configuration::load_by(path, |path| retry_transient(|| std::fs::read(path)))
     }
 
     /// Reads the file named, or else the one that LB_CONFIG names.
@@ -109,7 +109,7 @@
         let seed = u64::from_str_radix(seed, 16).map_err(|_| wrong("seed", "hex digits"))?;
         let remembered = told.get("known").cloned().unwrap_or_default();
         if !remembered.is_null() {
-            listing(&remembered, &startup.known.zones).map_err(|e| format!("known: {e}"))?;
+            parse_list(&remembered, &startup.known.zones).map_err(|e| format!("known: {e}"))?;
         }
         Ok(Configuration {
             name: maybe(told, "name", text)?.unwrap_or("dewhead").to_owned(),
--- a/crates/dewhead-proxy/src/lifecycle/mod.rs
+++ b/crates/dewhead-proxy/src/lifecycle/mod.rs
@@ -8,11 +8,11 @@
 
 use crate::clock::Clock;
 use crate::control::predecessor::Predecessor;
-use crate::memory::known;
 use crate::reducer::Reducer;
-use crate::transient::persist;
+use crate::state::handover_state;
+use crate::transient::retry_transient;
 use crate::turn::{Renewed, Report, Turn};
-use crate::wire::listing::listing;
+use crate::wire::server_list::parse_list;
 use configuration::{Configuration, Fixed};
 use log::{error, info, warn};
 use mio::net::TcpListener;
@@ -59,13 +59,13 @@
     let clock = Clock::start();
     // From here on the other process serves until it is told that its place is taken; a fault before leaves it serving.
     let before = take_over.as_deref().map(Predecessor::ask).transpose()?;
-    let handed = before.as_ref().and_then(|b| known::read(&b.handed));
+    let handed = before.as_ref().and_then(|b| handover_state::decode(&b.handed));
     if before.is_some() && handed.is_none() {
         warn!("what was handed on is of another version, and left aside");
     }
     let newest = handed.as_ref().map_or(&remembered, |h| &h.list);
     // What another build has written is bad input like any other.
-    let newest = if listing(newest, &startup.known.zones).is_ok() { newest } else { &remembered };
+    let newest = if parse_list(newest, &startup.known.zones).is_ok() { newest } else { &remembered };
     let mut reducer = Reducer::new(clock.now(), startup, seed, discovery, descriptors, newest);
     if let Some(handed) = &handed {
         reducer.take_up(clock.now(), handed);
@@ -136,7 +136,7 @@
             socket.set_nonblocking(true).map_err(fault)?;
             Ok(TcpListener::from_std(socket))
         }
-        None => persist(|| TcpListener::bind(at)).map_err(fault),
+        None => retry_transient(|| TcpListener::bind(at)).map_err(fault),
     }
 }
 
--- a/crates/dewhead-proxy/src/lifecycle/signals.rs
+++ b/crates/dewhead-proxy/src/lifecycle/signals.rs
@@ -3,7 +3,7 @@
 //! The byte alone is not enough: the handler's write may fail, for want of memory or as another signal comes, and there is
 //! nobody to try it again. The flag is looked at in each turn, and the signal itself ends the wait that it comes in.
 
-use crate::transient::persist;
+use crate::transient::retry_transient;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::os::unix::net::UnixStream;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -52,9 +52,9 @@
 fn listen_for(signals: &[i32]) -> Result<(Flag, UnixStream), String> {
     let fault = |e| format!("signals: {e}");
     let flag = Flag::default();
-    let (bytes, sender) = persist(UnixStream::pair).map_err(fault)?;
+    let (bytes, sender) = retry_transient(UnixStream::pair).map_err(fault)?;
     for signal in signals {
-        let sender = persist(|| sender.try_clone()).map_err(fault)?;
+        let sender = retry_transient(|| sender.try_clone()).map_err(fault)?;
         // Handlers run in this order, so that a byte is never there before its flag.
         signal_hook::flag::register(*signal, flag.0.clone()).map_err(fault)?;
         signal_hook::low_level::pipe::register(*signal, sender).map_err(fault)?;
--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -12,15 +12,15 @@
 
 use crate::guard::cold_start::ColdStartLimit;
 use crate::guard::Guard;
-use crate::memory::counters::{AnswerReason, Counters};
-use crate::memory::pace::Kinds;
-use crate::memory::servers::Servers;
-use crate::memory::sessions::{LegStage, Out, Session};
-use crate::memory::start_times::WallClock;
-use crate::memory::timers::{Timer, Timers};
+use crate::state::counters::{AnswerReason, Counters};
+use crate::state::servers::Servers;
+use crate::state::sessions::{LegStage, ServerLeg, Session};
+use crate::state::set_up_latency::TypeMeans;
+use crate::state::start_times::WallClock;
+use crate::state::timers::{Timer, Timers};
 use crate::wire::answers;
-use crate::wire::http::Answer;
-use crate::wire::listing::Version;
+use crate::wire::http::WatchResponse;
+use crate::wire::server_list::ListVersion;
 use dewhead::state::Balancer;
 use dewhead::terms::{Ending, TrafficType};
 use dewhead_startup::{Known, Startup};
@@ -136,7 +136,7 @@
 const TO_REFUSE: usize = 16;
 /// Clients go on coming for so long after a stop was asked for.
 const STILL_COMING: f64 = 0.45;
-/// The signs of slow messages, by their places in `Address::delays`.
+/// The signs of slow messages, by their places in `ServerRecord::delays`.
 const LINES: usize = 0;
 const SETUPS: usize = 1;
 /// How slow messages are at a server is told this often at the most.
@@ -166,14 +166,14 @@
     slow_from: f64,
     /// What a message is reckoned to take where set-ups take twice what they vary by themselves.
     slow_unit: f64,
-    kinds: Kinds,
+    kinds: TypeMeans,
     sessions: Slab<Session>,
     /// The ids that clients gave their open requests; one goes with its session's last word.
     named: BTreeSet<u64>,
     /// Sessions that only wait for their client, and since when, by the order they began to; one leaves when it is
     /// taken up, or with its slot.
     loiterers: BTreeMap<u64, (usize, f64)>,
-    legs: Slab<Out>,
+    legs: Slab<ServerLeg>,
     servers: Servers,
     traffic: Vec<TrafficType>,
     two_at_once: bool,
@@ -218,7 +218,7 @@
         let (connect_limit, longest_guard) = (startup.connect_limit, startup.longest_guard);
         let slow_from = startup.shortest_message / 3.0;
         let slow_unit = longest_guard / 30.0;
-        let kinds = Kinds::new(startup.known.traffic.len());
+        let kinds = TypeMeans::new(startup.known.traffic.len());
         let (traffic, two_at_once) = (startup.traffic().to_vec(), startup.two_at_once());
         let slow_start = startup.slow_start();
         let (balancer, known) = startup.balancer(seed, door.clone());
@@ -263,7 +263,7 @@
         };
         reducer.balancer.begin(now);
         if !remembered.is_null() {
-            let told = Version::told(remembered, &reducer.known.zones);
+            let told = ListVersion::from_json(remembered, &reducer.known.zones);
             reducer.list(now, told, true);
             reducer.unconfirmed = reducer.holds_list();
             reducer.timers.set(now + CONFIRMS * longest_guard, Due::Confirmed);
@@ -300,13 +300,13 @@
 
     /// A session's first line, for `Effect::Head`.
     pub fn head(&self, session: usize) -> &[u8] {
-        self.sessions.get(session).map_or(&[], |s| &s.head)
+        self.sessions.get(session).map_or(&[], |s| &s.first_line)
     }
 
     /// Where bytes from this end go once the call stands.
     pub fn other(&self, end: End) -> Option<End> {
         match end {
-            End::Client(key) => self.sessions.get(key)?.bound().map(End::Server),
+            End::Client(key) => self.sessions.get(key)?.established_leg().map(End::Server),
             End::Server(leg) => self.client_of(leg),
         }
     }
@@ -347,16 +347,16 @@
             Event::NotDialled(leg) => self.dial_later(now, leg),
             Event::HeadWritten(leg) => {
                 if let Some(out) = self.legs.get_mut(leg).filter(|l| l.stage == LegStage::Connecting) {
-                    out.stage = LegStage::Asked;
-                    out.asked_at = now;
-                    let fresh = self.timers.set(out.until, Due::Leg(leg));
+                    out.stage = LegStage::AwaitingAnswer;
+                    out.head_sent_at = now;
+                    let fresh = self.timers.set(out.answer_by, Due::Leg(leg));
                     if let Some(old) = out.timer.replace(fresh) {
                         self.timers.cancel(old);
                     }
                 }
             }
             Event::WatchOpen => {
-                self.watch.answer = Some(Answer::default());
+                self.watch.answer = Some(WatchResponse::default());
             }
             Event::Watch(bytes) => self.watched(now, bytes),
             Event::WatchLost => self.watch_lost(now),
@@ -401,18 +401,18 @@
                 }
                 Asked::Reject(call, stay_away) => {
                     if let Some(key) = self.session_of(call) {
-                        self.answer(now, key, answers::busy(stay_away), AnswerReason::Refused);
+                        self.answer(now, key, answers::busy(stay_away), AnswerReason::Rejected);
                     }
                 }
                 Asked::Release(call) => {
                     if let Some(key) = self.session_of(call) {
-                        self.answer(now, key, answers::FAILED.to_vec(), AnswerReason::GaveUp);
+                        self.answer(now, key, answers::ERR.to_vec(), AnswerReason::Released);
                     }
                 }
                 Asked::Refused(call, why) => {
                     self.counters.refusals.count(why.name());
                     if let Some(key) = self.session_of(call) {
-                        debug!("{}: no further attempt: {why}", self.sessions[key].who());
+                        debug!("{}: no further attempt: {why}", self.sessions[key].log_id());
                     }
                 }
                 Asked::Withdraw(call, number) => {
@@ -425,7 +425,7 @@
                 }
                 Asked::Relocate(call) => {
                     if let Some(key) = self.session_of(call) {
-                        debug!("{}: is to be placed anew", self.sessions[key].who());
+                        debug!("{}: is to be placed anew", self.sessions[key].log_id());
                         self.move_away(now, key, Ending::Cancelled);
                     }
                 }
@@ -445,7 +445,7 @@
     }
 
     fn replace_wake(&mut self, key: usize, fresh: Option<Timer>) {
-        if let Some(old) = std::mem::replace(&mut self.sessions[key].wake, fresh) {
+        if let Some(old) = std::mem::replace(&mut self.sessions[key].wake_timer, fresh) {
             self.timers.cancel(old);
         }
     }
@@ -461,7 +461,7 @@
         match due {
             Due::Balancer => self.balancer.woken(now),
             Due::Call(key) => {
-                self.sessions[key].wake = None;
+                self.sessions[key].wake_timer = None;
                 if let Some(call) = self.sessions[key].call.clone() {
                     call.woken(now);
                 }
@@ -481,7 +481,7 @@
                 self.session_due(now, key);
             }
             Due::Leave(key) => {
-                self.sessions[key].wake = None;
+                self.sessions[key].wake_timer = None;
                 self.move_away(now, key, Ending::Cancelled);
             }
             Due::Watch => {
--- a/crates/dewhead-proxy/src/reducer/clients.rs
+++ b/crates/dewhead-proxy/src/reducer/clients.rs
@@ -1,13 +1,13 @@
 //! Clients: from being accepted to their first line understood, and from their last word to their slot given back.
 
 use super::{Due, Effect, End, How, Reducer, MOST_SILENT, SLOT_BITS, TO_REFUSE};
-use crate::guard::Owed;
-use crate::memory::counters::{AnswerReason, CloseReason};
-use crate::memory::sessions::{LegStage, Session, Stage};
+use crate::guard::PendingReply;
+use crate::state::counters::{AnswerReason, CloseReason};
+use crate::state::sessions::{LegStage, Session, SessionStage};
 use crate::wire::answers;
-use crate::wire::head::{opening, Opening};
-use crate::wire::lines::{first, Lines, LONGEST};
-use crate::wire::listing::number_of;
+use crate::wire::first_line::{parse_first_line, FirstLine};
+use crate::wire::lines::{first_line_end, LineScanner, MAX_LINE_BYTES};
+use crate::wire::server_list::server_id;
 use dewhead::terms::{Ending, Wanted};
 use log::debug;
 
@@ -30,26 +30,26 @@
         let key = entry.key();
         entry.insert(Session {
             id: self.serial << SLOT_BITS | key as u64,
-            stage: Stage::Greeting,
-            named: None,
-            loiters: None,
+            stage: SessionStage::AwaitingFirstLine,
+            request_id: None,
+            idle_position: None,
             pings: 0,
-            head: Vec::new(),
-            wait: 0..0,
+            first_line: Vec::new(),
+            wait_range: 0..0,
             traffic: 0,
             call: None,
             legs: Vec::new(),
-            sent: 0,
-            down: Lines::default(),
-            up: Lines::default(),
-            asked: 0,
-            asked_at: now,
-            unanswered: None,
-            moving: None,
+            legs_sent: 0,
+            from_server: LineScanner::default(),
+            from_client: LineScanner::default(),
+            unanswered_lines: 0,
+            last_line_at: now,
+            unanswered_since: None,
+            pending_move: None,
             timer: None,
-            wake: None,
-            ran: None,
-            returning: None,
+            wake_timer: None,
+            may_have_run: None,
+            restoring: None,
         });
         self.effects.push(Effect::Admit(key));
         self.replace_timer(key, Some(now + FIRST_LINE));
@@ -63,12 +63,12 @@
     fn loiter(&mut self, now: f64, key: usize) {
         self.loiter_no_more(key);
         self.serial += 1;
-        self.sessions[key].loiters = Some(self.serial);
+        self.sessions[key].idle_position = Some(self.serial);
         self.loiterers.insert(self.serial, (key, now));
     }
 
     fn loiter_no_more(&mut self, key: usize) {
-        if let Some(place) = self.sessions[key].loiters.take() {
+        if let Some(place) = self.sessions[key].idle_position.take() {
             self.loiterers.remove(&place);
         }
     }
@@ -79,7 +79,7 @@
         while self.descriptors.most.saturating_sub(self.descriptors.used) < self.descriptors.most / SPARE {
             match self.loiterers.first_key_value() {
                 Some((_, &(key, since))) if now - since >= LET_SPEAK => {
-                    self.close_all(now, key, How::Closed, CloseReason::MadeRoom)
+                    self.close_all(now, key, How::Closed, CloseReason::Evicted)
                 }
                 _ => return,
             }
@@ -107,61 +107,62 @@
     pub(super) fn client_said(&mut self, now: f64, key: usize, bytes: &[u8]) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         match session.stage {
-            Stage::Greeting => {
-                session.head.extend_from_slice(bytes);
+            SessionStage::AwaitingFirstLine => {
+                session.first_line.extend_from_slice(bytes);
                 // Never more than a line and a piece, also where it is not read yet.
-                if session.head.len() > 2 * LONGEST {
+                if session.first_line.len() > 2 * MAX_LINE_BYTES {
                     return self.misunderstood(now, key);
                 }
                 self.greet(now, key);
             }
-            Stage::Waiting | Stage::Returning => {
+            SessionStage::AwaitingServer | SessionStage::Restoring => {
                 // A client waits for its answer; one that does not is not understood.
                 if let Some(call) = session.call.clone() {
                     call.left();
                 }
-                self.answer(now, key, answers::FAILED.to_vec(), AnswerReason::SpokeEarly);
+                self.answer(now, key, answers::ERR.to_vec(), AnswerReason::DataBeforeAnswer);
             }
-            Stage::Standing => {
+            SessionStage::Established => {
                 let mut lines = 0;
-                session.up.feed(bytes, |_, _| lines += 1);
+                session.from_client.feed(bytes, |_, _| lines += 1);
                 if lines > 0 {
-                    session.asked += lines;
-                    session.asked_at = now;
-                    session.unanswered.get_or_insert(now);
+                    session.unanswered_lines += lines;
+                    session.last_line_at = now;
+                    session.unanswered_since.get_or_insert(now);
                 }
-                let silent = session.timer.is_none() && lines > 0 && session.moving.is_none();
-                if let Some(leg) = session.bound() {
+                let silent = session.timer.is_none() && lines > 0 && session.pending_move.is_none();
+                if let Some(leg) = session.established_leg() {
                     self.effects.push(Effect::Pass(End::Server(leg), 0..bytes.len()));
                 }
                 if silent {
                     self.replace_timer(key, Some(now + MOST_SILENT));
                 }
             }
-            Stage::Parting => {}
+            SessionStage::Closing => {}
         }
     }
 
     pub(super) fn greet(&mut self, now: f64, key: usize) {
         if self.unconfirmed {
-            if matches!(first(&self.sessions[key].head), Ok(Some(_))) {
+            if matches!(first_line_end(&self.sessions[key].first_line), Ok(Some(_))) {
                 // It waits for us, and must not give up its descriptor as one that we wait for.
                 self.loiter_no_more(key);
             }
             return;
         }
         let session = &mut self.sessions[key];
-        let end = match first(&session.head) {
+        let end = match first_line_end(&session.first_line) {
             Ok(Some(end)) => end,
             Ok(None) => return,
             Err(_) => return self.misunderstood(now, key),
         };
-        match opening(&session.head[..end], now, self.longest_guard, &self.known, self.groups) {
+        match parse_first_line(&session.first_line[..end], now, self.longest_guard, &self.known, self.groups)
+        {
             // One that asks for signs of life without end would be answered without end.
-            Ok(Opening::Ping) if session.pings < MOST_PINGS => {
+            Ok(FirstLine::Ping) if session.pings < MOST_PINGS => {
                 session.pings += 1;
-                session.head.drain(..end);
-                let more = !session.head.is_empty();
+                session.first_line.drain(..end);
+                let more = !session.first_line.is_empty();
                 // Only once it can serve, and no longer when it stops. What came behind it has its answer all the same.
                 let serves = !self.servers.0.is_empty() && self.stopping.is_none();
                 if serves {
@@ -170,40 +171,45 @@
                 if more {
                     self.greet(now, key);
                 } else if !serves {
-                    self.answer(now, key, Vec::new(), AnswerReason::NoSignOfLife);
-                } else if self.sessions[key].loiters.is_none() {
+                    self.answer(now, key, Vec::new(), AnswerReason::PingDeclined);
+                } else if self.sessions[key].idle_position.is_none() {
                     self.loiter(now, key);
                 }
             }
             // The id of another client's open request: a server would take it for a second copy of that one.
-            Ok(Opening::Open { id, wanted, wait, held_at })
-                if end == session.head.len() && !self.named.contains(&id) =>
+            Ok(FirstLine::Open { id, wanted, wait_range, server_range })
+                if end == session.first_line.len() && !self.named.contains(&id) =>
             {
                 self.named.insert(id);
-                session.named = Some(id);
+                session.request_id = Some(id);
                 if let Some(group) = wanted.group {
-                    debug!("{}: is of group {group:x}", session.who());
+                    debug!("{}: is of group {group:x}", session.log_id());
                 }
-                session.wait = wait;
+                session.wait_range = wait_range;
                 session.traffic = wanted.traffic;
                 let (id, until) = (session.id, wanted.until);
-                debug!("{}: opens, {}", session.who(), String::from_utf8_lossy(&session.head).trim_end());
+                debug!(
+                    "{}: opens, {}",
+                    session.log_id(),
+                    String::from_utf8_lossy(&session.first_line).trim_end()
+                );
                 self.loiter_no_more(key);
                 let session = &mut self.sessions[key];
-                match held_at.map(|at| std::str::from_utf8(&session.head[at]).map_or(0, number_of)) {
+                match server_range.map(|at| std::str::from_utf8(&session.first_line[at]).map_or(0, server_id))
+                {
                     Some(server) => {
-                        session.stage = Stage::Returning;
+                        session.stage = SessionStage::Restoring;
                         // One that names a server of which nobody knows would else be tried for as long as it likes.
                         let named = self.servers.0.contains_key(&server);
                         let until = until.min(now + if named { PUT_BACK } else { FIRST_LINE });
-                        session.returning = Some((server, Wanted { until, ..wanted }));
+                        session.restoring = Some((server, Wanted { until, ..wanted }));
                         self.replace_timer(key, None);
                         self.hurry(now, key);
                         let until = self.answered_by.map_or(until, |by| by.min(until));
                         self.dial(now, key, server, until);
                     }
                     None => {
-                        session.stage = Stage::Waiting;
+                        session.stage = SessionStage::AwaitingServer;
                         self.replace_timer(key, None);
                         let until = self.answered_by.map_or(wanted.until, |by| by.min(wanted.until));
                         let call = self.balancer.take(now, id, Wanted { until, ..wanted });
@@ -220,25 +226,25 @@
     }
 
     pub(super) fn misunderstood(&mut self, now: f64, key: usize) {
-        self.answer(now, key, answers::FAILED.to_vec(), AnswerReason::Misunderstood);
+        self.answer(now, key, answers::ERR.to_vec(), AnswerReason::InvalidFirstLine);
     }
 
     pub(super) fn client_closed(&mut self, now: f64, key: usize, how: How) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         match session.stage {
-            Stage::Greeting | Stage::Parting => {}
-            Stage::Waiting | Stage::Returning => {
+            SessionStage::AwaitingFirstLine | SessionStage::Closing => {}
+            SessionStage::AwaitingServer | SessionStage::Restoring => {
                 if let Some(call) = session.call.clone() {
                     call.left();
                 }
             }
-            Stage::Standing => {
-                let leg = session.bound();
-                session.stage = Stage::Parting;
+            SessionStage::Established => {
+                let leg = session.established_leg();
+                session.stage = SessionStage::Closing;
                 if let Some(leg) = leg.filter(|_| how == How::Closed) {
                     // The server's last lines still go through.
                     self.tell_leg_ended(now, leg, Ending::Cancelled, true);
-                    self.legs[leg].stage = LegStage::Parting;
+                    self.legs[leg].stage = LegStage::Closing;
                     self.effects.push(Effect::Finish(End::Server(leg)));
                     self.replace_wake(key, None);
                     return self.replace_timer(key, Some(now + 1.0));
@@ -254,11 +260,11 @@
 
     /// The session's last word to its client; then it parts.
     pub(super) fn answer(&mut self, now: f64, key: usize, text: Vec<u8>, why: AnswerReason) {
-        if self.sessions[key].stage == Stage::Parting {
+        if self.sessions[key].stage == SessionStage::Closing {
             return;
         }
         let said = String::from_utf8_lossy(&text);
-        debug!("{}: is told {}, {why}", self.sessions[key].who(), said.trim_end());
+        debug!("{}: is told {}, {why}", self.sessions[key].log_id(), said.trim_end());
         self.counters.answers.count(why.name());
         self.part(now, key);
         self.end_legs(now, key, How::Closed);
@@ -272,10 +278,10 @@
     pub(super) fn part(&mut self, now: f64, key: usize) {
         self.loiter(now, key);
         let session = &mut self.sessions[key];
-        session.stage = Stage::Parting;
-        session.head = Vec::new();
-        session.returning = None;
-        if let Some(id) = session.named.take() {
+        session.stage = SessionStage::Closing;
+        session.first_line = Vec::new();
+        session.restoring = None;
+        if let Some(id) = session.request_id.take() {
             self.named.remove(&id);
         }
         self.replace_wake(key, None);
@@ -283,32 +289,36 @@
     }
 
     /// What its client is owed if the session is closed for this.
-    pub(super) fn owed(&self, key: usize, why: CloseReason) -> Owed {
+    pub(super) fn owed(&self, key: usize, why: CloseReason) -> PendingReply {
         let session = &self.sessions[key];
-        let asked = matches!(first(&session.head), Ok(Some(_)));
+        let asked = matches!(first_line_end(&session.first_line), Ok(Some(_)));
         match (session.stage, why) {
-            (_, CloseReason::ClientEnded | CloseReason::ClientReset) | (Stage::Parting, _) => Owed::Nothing,
-            (Stage::Waiting | Stage::Returning, _) => Owed::Answer,
-            (Stage::Greeting, _) if asked => Owed::Answer,
-            (Stage::Greeting, _) => Owed::Nothing,
-            (Stage::Standing, CloseReason::ServerEnded | CloseReason::ServerReset) => Owed::Nothing,
-            (Stage::Standing, _) => Owed::Move,
+            (_, CloseReason::ClientEnded | CloseReason::ClientReset) | (SessionStage::Closing, _) => {
+                PendingReply::Nothing
+            }
+            (SessionStage::AwaitingServer | SessionStage::Restoring, _) => PendingReply::Answer,
+            (SessionStage::AwaitingFirstLine, _) if asked => PendingReply::Answer,
+            (SessionStage::AwaitingFirstLine, _) => PendingReply::Nothing,
+            (SessionStage::Established, CloseReason::ServerEnded | CloseReason::ServerReset) => {
+                PendingReply::Nothing
+            }
+            (SessionStage::Established, _) => PendingReply::Move,
         }
     }
 
     /// Closes what a session still has open, and gives its slot back.
     pub(super) fn close_all(&mut self, now: f64, key: usize, how: How, why: CloseReason) {
         let owed = self.owed(key, why);
-        self.guard.closes(owed, &self.sessions[key].who());
-        debug!("{}: is closed, {why}", self.sessions[key].who());
+        self.guard.check_close(owed, &self.sessions[key].log_id());
+        debug!("{}: is closed, {why}", self.sessions[key].log_id());
         self.counters.closes.count(why.name());
         self.end_legs(now, key, how);
         self.loiter_no_more(key);
         let mut session = self.sessions.remove(key);
-        if let Some(id) = session.named {
+        if let Some(id) = session.request_id {
             self.named.remove(&id);
         }
-        for timer in session.timer.take().into_iter().chain(session.wake.take()) {
+        for timer in session.timer.take().into_iter().chain(session.wake_timer.take()) {
             self.timers.cancel(timer);
         }
         self.effects.push(Effect::Close(End::Client(key), how));
--- a/crates/dewhead-proxy/src/reducer/legs.rs
+++ b/crates/dewhead-proxy/src/reducer/legs.rs
@@ -1,12 +1,12 @@
 //! Legs: dialled, asked, answered, ended.
 
 use super::{Due, Effect, End, How, Reducer, SETUPS, TO_REFUSE};
-use crate::guard::cold_start::Carried;
-use crate::guard::{Repeating, Sending, Sent};
-use crate::memory::counters::{AnswerReason, CloseReason};
-use crate::memory::sessions::{LegStage, Out, Stage, Who};
-use crate::wire::answers::{self, word, Word};
-use crate::wire::lines::{first, trimmed};
+use crate::guard::cold_start::LocationLoad;
+use crate::guard::{RepeatFacts, SendFacts, SentAttempt};
+use crate::state::counters::{AnswerReason, CloseReason};
+use crate::state::sessions::{LegStage, LogId, ServerLeg, SessionStage};
+use crate::wire::answers::{self, parse_server_message, ServerMessage};
+use crate::wire::lines::{first_line_end, trim_line_end};
 use dewhead::terms::{Ending, State};
 use log::debug;
 
@@ -30,8 +30,8 @@
     pub(super) fn send(&mut self, now: f64, key: usize, server: u64, limit: f64) {
         let allowed = self.may_repeat(now, key, server);
         let session = &mut self.sessions[key];
-        let number = session.sent;
-        session.sent += 1;
+        let number = session.legs_sent;
+        session.legs_sent += 1;
         self.counters.attempts += 1;
         self.counters.retries += u64::from(number > 0);
         if !allowed || !self.dial_as(now, key, server, now + limit, number) {
@@ -45,29 +45,29 @@
         let (Some(rules), Some(to)) = (self.traffic.get(session.traffic), self.servers.0.get(&server)) else {
             return true;
         };
-        let facts = Repeating {
+        let facts = RepeatFacts {
             effect: rules.effect,
-            window: rules.window,
-            out: session.legs.len(),
+            repeat_window: rules.window,
+            attempts_out: session.legs.len(),
             two_at_once: self.two_at_once,
-            ran: session.ran,
-            to: Sent { at: now, zone: to.zone, cell: to.cell },
+            may_have_run: session.may_have_run,
+            target: SentAttempt { at: now, zone: to.zone, cell: to.cell },
         };
-        self.guard.may_repeat(&facts, &session.who()).is_ok()
+        self.guard.may_repeat(&facts, &session.log_id()).is_ok()
     }
 
     /// Whether the guard lets the leg's request go out now.
     fn may_send(&mut self, now: f64, leg: usize) -> bool {
         let out = &self.legs[leg];
         let session = &self.sessions[out.session];
-        let returning = session.stage == Stage::Returning;
+        let returning = session.stage == SessionStage::Restoring;
         let server = self.servers.0.get(&out.server);
-        let facts = Sending {
-            client_waits: returning || session.stage == Stage::Waiting,
-            in_time: now < out.until,
+        let facts = SendFacts {
+            client_waiting: returning || session.stage == SessionStage::AwaitingServer,
+            before_deadline: now < out.answer_by,
             server_ready: server.is_some_and(|s| returning || s.state == State::Ready),
         };
-        let who = session.who();
+        let who = session.log_id();
         if self.guard.may_send(&facts, &who).is_err() {
             return false;
         }
@@ -80,7 +80,7 @@
     }
 
     /// Whether a server may be sent a request by the rule about those that have just started.
-    fn may_start(&mut self, now: f64, id: u64, who: &Who) -> bool {
+    fn may_start(&mut self, now: f64, id: u64, who: &LogId) -> bool {
         let Some(server) = self.servers.0.get(&id) else { return true };
         let Some(age) = server.started.map(|at| now - at).filter(|age| self.cold_start.is_cold(*age)) else {
             return true;
@@ -88,25 +88,26 @@
         let weight = if self.weights_are_sizes { server.weight } else { 1.0 };
         let carried = self.carried();
         self.cold_start.observe(&carried);
-        let most = self.cold_start.most(weight, age);
+        let most = self.cold_start.max_requests(weight, age);
         let window = self.cold_start.window();
         let Some(server) = self.servers.0.get_mut(&id) else { return true };
-        while server.recent.front().is_some_and(|at| *at <= now - window) {
-            server.recent.pop_front();
+        while server.recent_sends.front().is_some_and(|at| *at <= now - window) {
+            server.recent_sends.pop_front();
         }
-        let allowed = self.guard.may_start(server.recent.len(), most, who).is_ok();
+        let allowed = self.guard.may_send_in_slow_start(server.recent_sends.len(), most, who).is_ok();
         if allowed {
-            server.recent.push_back(now);
+            server.recent_sends.push_back(now);
         }
         allowed
     }
 
     /// What stands at each location's servers, and the weight of those that are ready.
-    fn carried(&self) -> Vec<Carried> {
-        let mut locations = vec![Carried { connections: 0, weight: 0.0 }; self.known.zones.len().max(1)];
+    fn carried(&self) -> Vec<LocationLoad> {
+        let mut locations =
+            vec![LocationLoad { connections: 0, ready_weight: 0.0 }; self.known.zones.len().max(1)];
         for server in self.servers.0.values().filter(|server| server.state == State::Ready) {
             if let Some(location) = locations.get_mut(server.zone) {
-                location.weight += if self.weights_are_sizes { server.weight } else { 1.0 };
+                location.ready_weight += if self.weights_are_sizes { server.weight } else { 1.0 };
             }
         }
         for (_, leg) in &self.legs {
@@ -134,21 +135,25 @@
         let leg = entry.key();
         let up_by = (now + self.connect_limit).min(until);
         let timer = self.timers.set(up_by, Due::Leg(leg));
-        entry.insert(Out {
+        entry.insert(ServerLeg {
             session: key,
             number,
             server,
-            to,
+            address: to,
             stage: LegStage::Connecting,
             answer: Vec::new(),
-            up_by,
-            until,
-            asked_at: now,
+            connect_by: up_by,
+            answer_by: until,
+            head_sent_at: now,
             timer: Some(timer),
-            farewell: None,
+            announced_ending: None,
         });
         self.sessions[key].legs.push((number, leg));
-        debug!("{}: leg {number} to server {server:x}, for {:.3} s", self.sessions[key].who(), until - now);
+        debug!(
+            "{}: leg {number} to server {server:x}, for {:.3} s",
+            self.sessions[key].log_id(),
+            until - now
+        );
         self.descriptors.used += 1;
         self.effects.push(Effect::Dial(leg, to));
         true
@@ -169,7 +174,7 @@
         let pause = self.connect_limit.min(self.longest_guard) / REDIALS;
         let Some(out) = self.legs.get_mut(leg).filter(|l| l.stage == LegStage::Connecting) else { return };
         out.stage = LegStage::Queued;
-        let at = (now + pause).min(out.up_by).min(out.until);
+        let at = (now + pause).min(out.connect_by).min(out.answer_by);
         if let Some(old) = out.timer.replace(self.timers.set(at, Due::Leg(leg))) {
             self.timers.cancel(old);
         }
@@ -178,22 +183,22 @@
     pub(super) fn redial(&mut self, now: f64, leg: usize) {
         let out = &mut self.legs[leg];
         out.timer = None;
-        if now >= out.up_by.min(out.until) {
+        if now >= out.connect_by.min(out.answer_by) {
             return self.leg_failed(now, leg, Ending::NotSent);
         }
         out.stage = LegStage::Connecting;
-        out.timer = Some(self.timers.set(out.up_by, Due::Leg(leg)));
-        let to = out.to;
+        out.timer = Some(self.timers.set(out.connect_by, Due::Leg(leg)));
+        let to = out.address;
         self.effects.push(Effect::Dial(leg, to));
     }
 
     /// A connection that could not be put back is tried again, until its client has waited long enough.
     pub(super) fn again(&mut self, now: f64, key: usize) {
-        let until = self.sessions[key].returning.as_ref().map_or(now, |(_, wanted)| wanted.until);
+        let until = self.sessions[key].restoring.as_ref().map_or(now, |(_, wanted)| wanted.until);
         if now < until {
             self.replace_timer(key, Some((now + 0.1).min(until)));
         } else {
-            self.answer(now, key, answers::FAILED.to_vec(), AnswerReason::NotPutBack);
+            self.answer(now, key, answers::ERR.to_vec(), AnswerReason::RestoreFailed);
         }
     }
 
@@ -202,9 +207,9 @@
         let session = &self.sessions[out.session];
         // Dialled before a drain was told, or before its server was gone, started anew or moved, and up after it: such
         // legs were asked all the same, after the grace where connections take longer than that to come up.
-        let there = self.servers.0.get(&out.server).is_some_and(|s| s.dial == Some(out.to));
+        let there = self.servers.0.get(&out.server).is_some_and(|s| s.dial == Some(out.address));
         let may_go = session.call.as_ref().is_none_or(|call| call.may_go(now, out.number));
-        if !there || !may_go || now >= out.until {
+        if !there || !may_go || now >= out.answer_by {
             return self.leg_failed(now, leg, Ending::NotSent);
         }
         if !self.may_send(now, leg) {
@@ -212,8 +217,8 @@
         }
         let out = &self.legs[leg];
         let session = &self.sessions[out.session];
-        let wait = session.wait.clone();
-        let figure = ((out.until - now) * 1000.0).max(1.0) as u64;
+        let wait = session.wait_range.clone();
+        let figure = ((out.answer_by - now) * 1000.0).max(1.0) as u64;
         self.effects.push(Effect::Head { leg, session: out.session, wait, figure });
     }
 
@@ -224,49 +229,53 @@
             // Whatever it answers, it has not had the line: only of a full server that is a word.
             LegStage::Queued | LegStage::Connecting => {
                 out.answer.extend_from_slice(bytes);
-                let full = matches!(first(&out.answer), Ok(Some(end)) if word(trimmed(&out.answer[..end])) == Word::Busy);
+                let full = matches!(first_line_end(&out.answer), Ok(Some(end)) if parse_server_message(trim_line_end(&out.answer[..end])) == ServerMessage::Busy);
                 self.leg_failed(now, leg, if full { Ending::Full } else { Ending::Unreachable });
             }
-            LegStage::Asked => {
+            LegStage::AwaitingAnswer => {
                 out.answer.extend_from_slice(bytes);
-                let end = match first(&out.answer) {
+                let end = match first_line_end(&out.answer) {
                     Ok(Some(end)) => end,
                     Ok(None) => return,
                     Err(_) => return self.leg_failed(now, leg, Ending::Error),
                 };
-                match word(trimmed(&out.answer[..end])) {
-                    Word::Up => self.up(now, leg),
-                    Word::Busy => self.leg_failed(now, leg, Ending::Full),
-                    Word::Move => self.leg_failed(now, leg, Ending::Cancelled),
+                match parse_server_message(trim_line_end(&out.answer[..end])) {
+                    ServerMessage::Up => self.up(now, leg),
+                    ServerMessage::Busy => self.leg_failed(now, leg, Ending::Full),
+                    ServerMessage::Move => self.leg_failed(now, leg, Ending::Cancelled),
                     _ => self.leg_failed(now, leg, Ending::Error),
                 }
             }
-            LegStage::Standing => self.pass_down(now, leg, bytes),
-            LegStage::Parting => self.effects.push(Effect::Pass(End::Client(key), 0..bytes.len())),
+            LegStage::Established => self.pass_down(now, leg, bytes),
+            LegStage::Closing => self.effects.push(Effect::Pass(End::Client(key), 0..bytes.len())),
         }
     }
 
     /// The server has taken the connection: what it said goes to the client, and all that follows.
     pub(super) fn up(&mut self, now: f64, leg: usize) {
         let out = &mut self.legs[leg];
-        let (key, number, server, asked_at) = (out.session, out.number, out.server, out.asked_at);
+        let (key, number, server, asked_at) = (out.session, out.number, out.server, out.head_sent_at);
         let said = std::mem::take(&mut out.answer);
-        out.stage = LegStage::Standing;
+        out.stage = LegStage::Established;
         if let Some(timer) = out.timer.take() {
             self.timers.cancel(timer);
         }
         let session = &mut self.sessions[key];
-        session.stage = Stage::Standing;
-        session.head = Vec::new();
-        debug!("{}: stands at server {server:x}, {:.3} s after it was asked", session.who(), now - asked_at);
-        if let Some((_, wanted)) = session.returning.take() {
+        session.stage = SessionStage::Established;
+        session.first_line = Vec::new();
+        debug!(
+            "{}: stands at server {server:x}, {:.3} s after it was asked",
+            session.log_id(),
+            now - asked_at
+        );
+        if let Some((_, wanted)) = session.restoring.take() {
             let call = self.balancer.adopt(now, session.id, wanted, server);
             session.call = Some(call);
         } else if let Some(call) = &session.call {
             call.established(now, number);
         }
         // Others that were out at the same time are called off.
-        let (traffic, fresh) = (session.traffic, session.sent > 0);
+        let (traffic, fresh) = (session.traffic, session.legs_sent > 0);
         let others: Vec<usize> = session.legs.iter().map(|(_, l)| *l).filter(|l| *l != leg).collect();
         for other in others {
             self.end_leg(now, other, Ending::Cancelled, false, How::Broken);
@@ -282,7 +291,8 @@
         if let Some(address) = self.servers.0.get_mut(&server).filter(|_| judged) {
             let ran = now - address.started.map_or(self.began, |started| started.max(self.began));
             let fades = 4.0 * self.longest_guard;
-            let slower = address.pace.set_up(&mut self.kinds, traffic, now - asked_at, (now, ran), fades);
+            let slower =
+                address.set_up_latency.record(&mut self.kinds, traffic, now - asked_at, (now, ran), fades);
             self.messages_take(now, leg, SETUPS, slower * self.slow_unit);
         }
         self.watch_lines(now, leg, &said);
@@ -291,13 +301,13 @@
 
     pub(super) fn server_closed(&mut self, now: f64, leg: usize, how: How) {
         let Some(out) = self.legs.get(leg) else { return };
-        let (key, farewell) = (out.session, out.farewell);
+        let (key, farewell) = (out.session, out.announced_ending);
         match out.stage {
             LegStage::Queued | LegStage::Connecting => self.leg_failed(now, leg, Ending::Unreachable),
-            LegStage::Asked => self.leg_failed(now, leg, Ending::Broken),
-            LegStage::Parting => self.close_all(now, key, How::Closed, CloseReason::ServerEnded),
-            LegStage::Standing => {
-                if farewell.is_none() && self.sessions[key].down.between() {
+            LegStage::AwaitingAnswer => self.leg_failed(now, leg, Ending::Broken),
+            LegStage::Closing => self.close_all(now, key, How::Closed, CloseReason::ServerEnded),
+            LegStage::Established => {
+                if farewell.is_none() && self.sessions[key].from_server.is_between_lines() {
                     // Lost without a word: its client comes again sooner when told to than when cut off.
                     return self.move_away(now, key, Ending::Broken);
                 }
@@ -316,7 +326,7 @@
     pub(super) fn leg_failed(&mut self, now: f64, leg: usize, ending: Ending) {
         let Some(out) = self.legs.get(leg) else { return };
         let key = out.session;
-        let returning = self.sessions[key].stage == Stage::Returning;
+        let returning = self.sessions[key].stage == SessionStage::Restoring;
         self.end_leg(now, leg, ending, false, How::Broken);
         if returning {
             self.again(now, key);
@@ -331,7 +341,7 @@
 
     pub(super) fn tell_leg_ended(&mut self, now: f64, leg: usize, ending: Ending, last: bool) {
         let (key, number) = (self.legs[leg].session, self.legs[leg].number);
-        if self.legs[leg].stage != LegStage::Parting {
+        if self.legs[leg].stage != LegStage::Closing {
             self.tell_ended(now, key, number, ending, last);
         }
     }
@@ -342,12 +352,16 @@
         let out = self.legs.remove(leg);
         self.counters.endings.count(ending_name(ending));
         let session = &mut self.sessions[out.session];
-        if out.stage == LegStage::Asked && !matches!(ending, Ending::Full | Ending::NotSent) {
+        if out.stage == LegStage::AwaitingAnswer && !matches!(ending, Ending::Full | Ending::NotSent) {
             if let Some(server) = self.servers.0.get(&out.server) {
-                session.ran.get_or_insert(Sent { at: out.asked_at, zone: server.zone, cell: server.cell });
+                session.may_have_run.get_or_insert(SentAttempt {
+                    at: out.head_sent_at,
+                    zone: server.zone,
+                    cell: server.cell,
+                });
             }
         }
-        debug!("{}: leg {} at server {:x} ends: {ending:?}", session.who(), out.number, out.server);
+        debug!("{}: leg {} at server {:x} ends: {ending:?}", session.log_id(), out.number, out.server);
         if let Some(timer) = out.timer {
             self.timers.cancel(timer);
         }
--- a/crates/dewhead-proxy/src/reducer/standing.rs
+++ b/crates/dewhead-proxy/src/reducer/standing.rs
@@ -1,9 +1,9 @@
 //! Standing connections: lines pass and are read along, and clients are sent away politely.
 
 use super::{Effect, End, How, Reducer, LINES, LINE_ENDS, MOST_SILENT, TELL_AGAIN};
-use crate::memory::counters::{AnswerReason, CloseReason};
-use crate::memory::sessions::Stage;
-use crate::wire::answers::{self, word, Word};
+use crate::state::counters::{AnswerReason, CloseReason};
+use crate::state::sessions::SessionStage;
+use crate::wire::answers::{self, parse_server_message, ServerMessage};
 use dewhead::terms::Ending;
 use log::{debug, trace};
 
@@ -11,7 +11,7 @@
     pub(super) fn pass_down(&mut self, now: f64, leg: usize, bytes: &[u8]) {
         let key = self.legs[leg].session;
         let mut bytes = bytes;
-        if self.sessions[key].moving.is_some() {
+        if self.sessions[key].pending_move.is_some() {
             // The line under way still goes through.
             let end = bytes.iter().position(|b| *b == b'\n').map_or(bytes.len(), |at| at + 1);
             bytes = &bytes[..end];
@@ -19,7 +19,7 @@
         self.watch_lines(now, leg, bytes);
         self.effects.push(Effect::Pass(End::Client(key), 0..bytes.len()));
         let session = &self.sessions[key];
-        if let Some(ending) = session.moving.filter(|_| session.down.between()) {
+        if let Some(ending) = session.pending_move.filter(|_| session.from_server.is_between_lines()) {
             self.move_away(now, key, ending);
         }
     }
@@ -30,15 +30,16 @@
         let session = &mut self.sessions[out.session];
         let Some(call) = session.call.clone() else { return };
         let mut slowest = None;
-        let who = session.who();
-        let (asked, unanswered, asked_at) = (&mut session.asked, &mut session.unanswered, session.asked_at);
-        session.down.feed(bytes, |line, _| match word(line) {
-            Word::Load(load) => {
+        let who = session.log_id();
+        let (asked, unanswered, asked_at) =
+            (&mut session.unanswered_lines, &mut session.unanswered_since, session.last_line_at);
+        session.from_server.feed(bytes, |line, _| match parse_server_message(line) {
+            ServerMessage::Load(load) => {
                 trace!("{}: loads server {:x} with {load}", who, out.server);
                 call.load_is(now, out.number, load);
             }
-            Word::Bye => out.farewell = Some(Ending::Served),
-            Word::Move => out.farewell = Some(Ending::Cancelled),
+            ServerMessage::Bye => out.announced_ending = Some(Ending::Served),
+            ServerMessage::Move => out.announced_ending = Some(Ending::Cancelled),
             _ => {
                 if let Some(since) = unanswered.take() {
                     slowest = Some(now - since);
@@ -58,15 +59,15 @@
     pub(super) fn messages_take(&mut self, now: f64, leg: usize, sign: usize, took: f64) {
         let out = &self.legs[leg];
         let Some(server) = self.servers.0.get_mut(&out.server) else { return };
-        server.delays[sign] = (took, now);
+        server.message_delays[sign] = (took, now);
         // A sign counts for as long as it would not be told again. The last set-up's, told with each line that passed,
         // was taken for a new one every second: the limit was cut for good, and nothing was set up to clear it.
-        let fresh = server.delays.iter().filter(|(_, at)| now - at < TELL_AGAIN);
+        let fresh = server.message_delays.iter().filter(|(_, at)| now - at < TELL_AGAIN);
         let took = fresh.fold(0.0, |most, (took, _)| f64::max(most, *took));
         let slow = took > self.slow_from;
-        if (slow || server.slow) && now - server.told_at >= TELL_AGAIN {
-            server.told_at = now;
-            server.slow = slow;
+        if (slow || server.slow_reported) && now - server.delay_reported_at >= TELL_AGAIN {
+            server.delay_reported_at = now;
+            server.slow_reported = slow;
             debug!("messages at server {:x} take {took:.3} s", out.server);
             if let Some(call) = &self.sessions[out.session].call {
                 call.messages_take(now, out.number, took);
@@ -77,12 +78,13 @@
     /// Sends a standing client away politely, as soon as it is between two lines.
     pub(super) fn move_away(&mut self, now: f64, key: usize, ending: Ending) {
         let session = &mut self.sessions[key];
-        let Some((_, leg)) = session.legs.first().copied().filter(|_| session.stage == Stage::Standing)
+        let Some((_, leg)) =
+            session.legs.first().copied().filter(|_| session.stage == SessionStage::Established)
         else {
             return;
         };
-        if !session.down.between() {
-            if session.moving.replace(ending).is_none() {
+        if !session.from_server.is_between_lines() {
+            if session.pending_move.replace(ending).is_none() {
                 self.replace_timer(key, Some(now + LINE_ENDS));
             }
             return;
@@ -94,27 +96,29 @@
     pub(super) fn session_due(&mut self, now: f64, key: usize) {
         let session = &self.sessions[key];
         match session.stage {
-            Stage::Greeting if !session.head.is_empty() => self.misunderstood(now, key),
-            Stage::Greeting => self.close_all(now, key, How::Closed, CloseReason::FirstLineOverdue),
-            Stage::Parting => self.close_all(now, key, How::Broken, CloseReason::Lingered),
-            Stage::Waiting => {}
-            Stage::Returning => {
-                if let Some((server, wanted)) = &session.returning {
+            SessionStage::AwaitingFirstLine if !session.first_line.is_empty() => self.misunderstood(now, key),
+            SessionStage::AwaitingFirstLine => {
+                self.close_all(now, key, How::Closed, CloseReason::FirstLineOverdue)
+            }
+            SessionStage::Closing => self.close_all(now, key, How::Broken, CloseReason::ClosingTimedOut),
+            SessionStage::AwaitingServer => {}
+            SessionStage::Restoring => {
+                if let Some((server, wanted)) = &session.restoring {
                     let (server, until) = (*server, wanted.until);
                     if now < until {
                         self.dial(now, key, server, until);
                     } else {
-                        self.answer(now, key, answers::FAILED.to_vec(), AnswerReason::NotPutBack);
+                        self.answer(now, key, answers::ERR.to_vec(), AnswerReason::RestoreFailed);
                     }
                 }
             }
-            Stage::Standing => match (session.moving, session.unanswered) {
+            SessionStage::Established => match (session.pending_move, session.unanswered_since) {
                 (Some(ending), _) => {
                     // Its server stopped within a line, so there is no place for a word.
-                    if let Some(leg) = session.bound() {
+                    if let Some(leg) = session.established_leg() {
                         self.end_leg(now, leg, ending, true, How::Broken);
                     }
-                    self.answer(now, key, Vec::new(), AnswerReason::LineNeverEnded);
+                    self.answer(now, key, Vec::new(), AnswerReason::IncompleteLine);
                 }
                 (None, Some(since)) if now - since >= MOST_SILENT - 1e-3 => {
                     self.move_away(now, key, Ending::Broken);
--- a/crates/dewhead-proxy/src/reducer/status.rs
+++ b/crates/dewhead-proxy/src/reducer/status.rs
@@ -2,8 +2,8 @@
 
 use super::Reducer;
 use crate::guard::Violation;
-use crate::memory::counters::CloseReason;
-use crate::memory::sessions::Stage;
+use crate::state::counters::CloseReason;
+use crate::state::sessions::SessionStage;
 use dewhead::terms::State;
 use log::info;
 use serde_json::{json, Value};
@@ -12,13 +12,13 @@
 /// So many connections are told one by one at the most.
 const TOLD: usize = 1000;
 
-fn name(stage: Stage) -> &'static str {
+fn name(stage: SessionStage) -> &'static str {
     match stage {
-        Stage::Greeting => "greeting",
-        Stage::Waiting => "waiting",
-        Stage::Returning => "returning",
-        Stage::Standing => "standing",
-        Stage::Parting => "parting",
+        SessionStage::AwaitingFirstLine => "greeting",
+        SessionStage::AwaitingServer => "waiting",
+        SessionStage::Restoring => "returning",
+        SessionStage::Established => "standing",
+        SessionStage::Closing => "parting",
     }
 }
 
@@ -51,7 +51,7 @@
         let violations: BTreeMap<&str, u64> =
             self.guard.counts().map(|(violation, count)| (violation.name(), count)).collect();
         json!({
-            "counters": self.counters.told(), "violations": violations,
+            "counters": self.counters.to_json(), "violations": violations,
             "sessions": self.sessions.len(), "by_stage": stages, "legs": self.legs.len(),
             "descriptors": self.descriptors.used, "descriptors_most": self.descriptors.most,
             "accepting": self.descriptors.accepting, "uptime": ((now - self.began) * 1e3).round() / 1e3,
@@ -68,7 +68,7 @@
 
     /// The process ends before the one whose place it took, whose clients may not have been told to move.
     pub fn leaves_predecessor(&mut self) {
-        self.guard.violated(Violation::PredecessorLeft, &"the process whose place was taken");
+        self.guard.record_violation(Violation::EndedBeforePredecessor, &"the process whose place was taken");
     }
 
     /// The process ends: who is still owed something is counted, and all counts are told in the log.
@@ -76,17 +76,17 @@
         let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
         for key in keys {
             let owed = self.owed(key, CloseReason::ProcessEnded);
-            self.guard.closes(owed, &self.sessions[key].who());
+            self.guard.check_close(owed, &self.sessions[key].log_id());
             self.counters.closes.count(CloseReason::ProcessEnded.name());
         }
-        info!("counted: {}, violations {}", self.counters.told(), self.guard.total());
+        info!("counted: {}, violations {}", self.counters.to_json(), self.guard.total());
     }
 
     /// Sessions one by one, the first thousand of them.
     pub fn connections(&self) -> Value {
-        let one = |(key, session): (usize, &crate::memory::sessions::Session)| {
+        let one = |(key, session): (usize, &crate::state::sessions::Session)| {
             let server = session.legs.first().and_then(|(_, leg)| self.legs.get(*leg)).map(|leg| leg.server);
-            json!({"slot": key, "stage": name(session.stage), "server": server, "legs": session.sent,
+            json!({"slot": key, "stage": name(session.stage), "server": server, "legs": session.legs_sent,
                    "traffic": self.known.traffic.get(session.traffic)})
         };
         let told: Vec<Value> = self.sessions.iter().take(TOLD).map(one).collect();
--- a/crates/dewhead-proxy/src/reducer/stopping.rs
+++ b/crates/dewhead-proxy/src/reducer/stopping.rs
@@ -1,7 +1,7 @@
 //! The polite stop, and the drain that can be taken back.
 
 use super::{Due, Reducer, STILL_COMING};
-use crate::memory::sessions::{LegStage, Stage};
+use crate::state::sessions::{LegStage, SessionStage};
 use dewhead::terms::Ending;
 use log::info;
 
@@ -49,9 +49,9 @@
         let Some(by) = self.answered_by else { return };
         let session = &mut self.sessions[key];
         match session.stage {
-            Stage::Waiting => {}
-            Stage::Returning => {
-                if let Some((_, wanted)) = &mut session.returning {
+            SessionStage::AwaitingServer => {}
+            SessionStage::Restoring => {
+                if let Some((_, wanted)) = &mut session.restoring {
                     wanted.until = wanted.until.min(by);
                 }
             }
@@ -63,13 +63,13 @@
         let legs: Vec<usize> = session.legs.iter().map(|(_, leg)| *leg).collect();
         for leg in legs {
             let out = &mut self.legs[leg];
-            if out.until > by {
-                out.until = by;
+            if out.answer_by > by {
+                out.answer_by = by;
                 // One that is not up yet may have less time already.
                 let at = match out.stage {
                     // Its timer dials it, and ends it in time.
                     LegStage::Queued => continue,
-                    LegStage::Connecting => out.up_by.min(by),
+                    LegStage::Connecting => out.connect_by.min(by),
                     _ => by,
                 };
                 if let Some(old) = out.timer.replace(self.timers.set(at.max(now), Due::Leg(leg))) {
@@ -116,7 +116,11 @@
     }
 
     fn standing(&self) -> Vec<usize> {
-        self.sessions.iter().filter(|(_, s)| s.stage == Stage::Standing).map(|(key, _)| key).collect()
+        self.sessions
+            .iter()
+            .filter(|(_, s)| s.stage == SessionStage::Established)
+            .map(|(key, _)| key)
+            .collect()
     }
 
     pub(super) fn send_all_away(&mut self, now: f64) {
--- a/crates/dewhead-proxy/src/reducer/succession.rs
+++ b/crates/dewhead-proxy/src/reducer/succession.rs
@@ -1,8 +1,8 @@
 //! What one process hands to the one that takes its place, and what that takes up.
 
 use super::Reducer;
-use crate::memory::known::{self, Handed};
-use crate::memory::pace::Pace;
+use crate::state::handover_state::{self, HandoverState};
+use crate::state::set_up_latency::SetUpLatency;
 use log::info;
 use serde_json::Value;
 
@@ -12,24 +12,24 @@
 impl Reducer {
     /// The list and what was learned, each with its age.
     pub fn hand_on(&self, now: f64) -> Value {
-        let list = self.watch.entries.list(self.watch.version);
-        let paces = self.servers.0.iter().map(|(id, server)| (*id, &server.pace));
-        known::write(now, list, &self.balancer.learned(now), paces, &self.kinds)
+        let list = self.watch.entries.to_list(self.watch.version);
+        let paces = self.servers.0.iter().map(|(id, server)| (*id, &server.set_up_latency));
+        handover_state::encode(now, list, &self.balancer.learned(now), paces, &self.kinds)
     }
 
     /// Takes up what another process has learned: of servers that are listed and have not started anew.
-    pub fn take_up(&mut self, now: f64, handed: &Handed) {
-        let ago = (now - handed.at).max(0.0);
+    pub fn take_up(&mut self, now: f64, handed: &HandoverState) {
+        let ago = (now - handed.encoded_at).max(0.0);
         if ago > USE * self.longest_guard {
             return info!("what was handed on is {ago:.0} s old and left aside");
         }
         let recalled = self.balancer.recall(now, ago, &handed.servers);
-        for (id, (recent, usual, seen, since)) in &handed.paces {
+        for (id, (recent, usual, seen, since)) in &handed.set_up_latencies {
             if let Some(server) = self.servers.0.get_mut(id) {
-                server.pace = Pace::recall(now, (*recent, *usual, *seen, since + ago));
+                server.set_up_latency = SetUpLatency::restore(now, (*recent, *usual, *seen, since + ago));
             }
         }
-        self.kinds.recall(&handed.kinds);
+        self.kinds.restore(&handed.type_means);
         info!("taken up what was learned of {recalled} servers, {ago:.1} s ago");
     }
 
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -1,11 +1,11 @@
 //! Following discovery: the watch and what its lines change.
 
 use super::{Due, Effect, Reducer};
-use crate::memory::known::Entries;
-use crate::memory::sessions::{LegStage, Out, Session, Stage};
-use crate::memory::timers::Timer;
-use crate::wire::http::{Answer, TOO_LONG, TURNED_AWAY};
-use crate::wire::listing::Version;
+use crate::state::handover_state::RawEntries;
+use crate::state::sessions::{LegStage, ServerLeg, Session, SessionStage};
+use crate::state::timers::Timer;
+use crate::wire::http::{WatchResponse, LINE_TOO_LONG, STATUS_NOT_OK};
+use crate::wire::server_list::ListVersion;
 use dewhead::terms::{Ending, News, State};
 use dewhead_startup::fields::Outcome;
 use log::{debug, warn};
@@ -31,7 +31,7 @@
 
 pub struct Watch {
     pub discovery: SocketAddr,
-    pub answer: Option<Answer>,
+    pub answer: Option<WatchResponse>,
     /// When it was last asked for, and whether a whole line has come since.
     asked_at: f64,
     told: bool,
@@ -39,7 +39,7 @@
     came: usize,
     /// The version held, and its entries as they came.
     pub version: u64,
-    pub entries: Entries,
+    pub entries: RawEntries,
     pub failures: u32,
     /// Whether it turned the last call away.
     pub turned_away: bool,
@@ -57,7 +57,7 @@
             told: false,
             came: 0,
             version: 0,
-            entries: Entries::default(),
+            entries: RawEntries::default(),
             failures: 0,
             turned_away: false,
             pausing: false,
@@ -117,7 +117,7 @@
             }
         }
         for line in lines {
-            match Version::read(&line, &self.known.zones) {
+            match ListVersion::parse(&line, &self.known.zones) {
                 Some(version) => {
                     if !self.list(now, version, false) {
                         return self.watch_fault(now, "its list was not understood");
@@ -134,7 +134,7 @@
     }
 
     /// A version of the list; false where it was not understood, and the list held stays.
-    pub(super) fn list(&mut self, now: f64, told: Outcome<Version>, remembered: bool) -> bool {
+    pub(super) fn list(&mut self, now: f64, told: Outcome<ListVersion>, remembered: bool) -> bool {
         let mut told = match told {
             Ok(list) => list,
             Err(fault) => {
@@ -165,7 +165,7 @@
         }
         self.watch.version = version;
         (self.watch.failures, self.watch.turned_away) = (0, false);
-        self.watch.entries.follow(whole || remembered, &mut told);
+        self.watch.entries.apply(whole || remembered, &mut told);
         for (listed, _) in &told.entries {
             let ago = listed.started.map_or(f64::INFINITY, |started| now - started);
             debug!(
@@ -173,10 +173,10 @@
                 listed.id, listed.state, listed.zone, listed.weight
             );
         }
-        let gone = self.servers.follow(whole || remembered, &told.entries);
+        let gone = self.servers.apply(whole || remembered, &told.entries);
         for ((listed, _), born) in told.entries.iter().zip(born) {
             if let Some(server) = self.servers.0.get_mut(&listed.id) {
-                server.born = born;
+                server.started_by_wall_clock = born;
             }
         }
         let news = match () {
@@ -191,7 +191,7 @@
         }
         if !gone.is_empty() {
             // What stands at a server that is gone leaves it; the list changes seldom enough to look at all.
-            let lost = |l: &Out| l.stage == LegStage::Standing && gone.contains(&l.server);
+            let lost = |l: &ServerLeg| l.stage == LegStage::Established && gone.contains(&l.server);
             let keys: Vec<usize> =
                 self.legs.iter().filter(|(_, l)| lost(l)).map(|(_, l)| l.session).collect();
             keys.into_iter().for_each(|key| self.move_away(now, key, Ending::Broken));
@@ -201,14 +201,15 @@
 
     /// Discovery tells starts by the wall clock. Puts them on the process's own, and returns them as they were told; one
     /// that was told before stays where it was put then.
-    fn start_by_own_clock(&self, now: f64, told: &mut Version) -> Vec<Option<f64>> {
+    fn start_by_own_clock(&self, now: f64, told: &mut ListVersion) -> Vec<Option<f64>> {
         let mut as_told = Vec::with_capacity(told.entries.len());
         for (listed, _) in &mut told.entries {
             as_told.push(listed.started);
-            let held = self.servers.0.get(&listed.id).filter(|held| held.born == listed.started);
+            let held =
+                self.servers.0.get(&listed.id).filter(|held| held.started_by_wall_clock == listed.started);
             listed.started = match held {
                 Some(held) => held.started,
-                None => listed.started.map(|born| self.wall_clock.started(now, born)),
+                None => listed.started.map(|born| self.wall_clock.to_process_clock(now, born)),
             };
         }
         as_told
@@ -217,7 +218,8 @@
     /// The list held is as good as can be had: who came before is heard.
     pub(super) fn confirm(&mut self, now: f64) {
         if std::mem::take(&mut self.unconfirmed) {
-            let greeting = |s: &Session| s.stage == Stage::Greeting && !s.head.is_empty();
+            let greeting =
+                |s: &Session| s.stage == SessionStage::AwaitingFirstLine && !s.first_line.is_empty();
             let keys: Vec<usize> =
                 self.sessions.iter().filter(|(_, s)| greeting(s)).map(|(key, _)| key).collect();
             keys.into_iter().for_each(|key| self.greet(now, key));
@@ -229,7 +231,7 @@
             warn!("discovery: the watch is given up: {fault}");
         }
         // A list that is too long is so again: it would be written over and over.
-        self.watch.turned_away = matches!(fault, TURNED_AWAY | TOO_LONG);
+        self.watch.turned_away = matches!(fault, STATUS_NOT_OK | LINE_TOO_LONG);
         self.effects.push(Effect::Unfollow);
         self.ask_later(now);
     }
--- a/crates/dewhead-proxy/src/memory/links.rs
+++ b/crates/dewhead-proxy/src/state/buffered_socket.rs
@@ -7,88 +7,88 @@
 /// A head goes out in three parts: what comes before the waiting time, the time, and the rest.
 const MOST_PARTS: usize = 3;
 
-pub struct Link {
+pub struct BufferedSocket {
     pub socket: TcpStream,
     /// Bytes that wait, and how many of them are gone already.
-    waiting: Vec<u8>,
-    gone: usize,
+    pending: Vec<u8>,
+    written: usize,
     /// To be shut for writing once nothing waits.
-    finishing: bool,
+    shutdown_pending: bool,
     /// Being dialled still.
     pub connecting: bool,
     /// May have bytes to read that were left as the other side could not take them.
     pub readable: bool,
     /// Nothing more will come.
-    pub ended: bool,
+    pub read_ended: bool,
     /// The head is on its way; its last byte has not been written.
-    pub asking: bool,
+    pub head_pending: bool,
 }
 
-impl Link {
-    pub fn new(socket: TcpStream, connecting: bool) -> Link {
-        Link {
+impl BufferedSocket {
+    pub fn new(socket: TcpStream, connecting: bool) -> BufferedSocket {
+        BufferedSocket {
             socket,
-            waiting: Vec::new(),
-            gone: 0,
-            finishing: false,
+            pending: Vec::new(),
+            written: 0,
+            shutdown_pending: false,
             connecting,
             readable: false,
-            ended: false,
-            asking: false,
+            read_ended: false,
+            head_pending: false,
         }
     }
 
-    pub fn is_clear(&self) -> bool {
-        self.waiting.is_empty()
+    pub fn is_flushed(&self) -> bool {
+        self.pending.is_empty()
     }
 
     /// Writes the parts until the socket takes no more; the rest waits. Nothing tells that a socket can be written to
     /// again unless a write found it full, so that a short write alone is no reason to stop.
     pub fn write(&mut self, parts: &[&[u8]]) -> io::Result<()> {
         let mut taken = 0;
-        if self.is_clear() && !self.connecting {
+        if self.is_flushed() && !self.connecting {
             taken = write_parts(&mut self.socket, parts)?;
         }
         for part in parts {
             let skip = taken.min(part.len());
             taken -= skip;
-            self.waiting.extend_from_slice(&part[skip..]);
+            self.pending.extend_from_slice(&part[skip..]);
         }
         Ok(())
     }
 
     /// Writes what waits; true once all of it is gone.
     pub fn flush(&mut self) -> io::Result<bool> {
-        while self.gone < self.waiting.len() {
-            match self.socket.write(&self.waiting[self.gone..]) {
+        while self.written < self.pending.len() {
+            match self.socket.write(&self.pending[self.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(taken) => self.gone += taken,
+                Ok(taken) => self.written += taken,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(false),
                 Err(e) => return Err(e),
             }
         }
-        self.waiting = Vec::new();
-        self.gone = 0;
-        if self.finishing {
-            self.finishing = false;
+        self.pending = Vec::new();
+        self.written = 0;
+        if self.shutdown_pending {
+            self.shutdown_pending = false;
             let _ = self.socket.shutdown(Shutdown::Write);
         }
         Ok(true)
     }
 
     /// Ends the sending once all that waits is written.
-    pub fn finish(&mut self) {
-        if self.is_clear() && !self.connecting {
+    pub fn finish_writing(&mut self) {
+        if self.is_flushed() && !self.connecting {
             // A socket that is gone already needs no end.
             let _ = self.socket.shutdown(Shutdown::Write);
         } else {
-            self.finishing = true;
+            self.shutdown_pending = true;
         }
     }
 
     /// Makes the close that follows a reset.
-    pub fn abort(&self) {
+    pub fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(&self.socket).set_linger(Some(std::time::Duration::ZERO));
     }
 }
--- a/crates/dewhead-proxy/src/memory/counters.rs
+++ b/crates/dewhead-proxy/src/state/counters.rs
@@ -14,11 +14,11 @@
     ServerEnded,
     ServerReset,
     /// It had its last word and did not go in time.
-    Lingered,
+    ClosingTimedOut,
     /// It never said what it wants.
     FirstLineOverdue,
     /// Descriptors ran short, and it only held one.
-    MadeRoom,
+    Evicted,
     /// The process ended.
     ProcessEnded,
 }
@@ -30,9 +30,9 @@
             CloseReason::ClientReset => "client_reset",
             CloseReason::ServerEnded => "server_ended",
             CloseReason::ServerReset => "server_reset",
-            CloseReason::Lingered => "lingered",
+            CloseReason::ClosingTimedOut => "lingered",
             CloseReason::FirstLineOverdue => "first_line_overdue",
-            CloseReason::MadeRoom => "made_room",
+            CloseReason::Evicted => "made_room",
             CloseReason::ProcessEnded => "process_ended",
         }
     }
@@ -42,33 +42,33 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AnswerReason {
     /// The decisions turned it away or gave it up; they tell why.
-    Refused,
-    GaveUp,
+    Rejected,
+    Released,
     /// Its first line was not understood, too long or late.
-    Misunderstood,
+    InvalidFirstLine,
     /// It went on talking while it waited for its answer.
-    SpokeEarly,
+    DataBeforeAnswer,
     /// A sign of life that is not given now.
-    NoSignOfLife,
+    PingDeclined,
     /// Its connection could not be put back.
-    NotPutBack,
+    RestoreFailed,
     /// It was sent away to be placed anew, or with its server's end.
     Moved,
     /// Its server stopped within a line.
-    LineNeverEnded,
+    IncompleteLine,
 }
 
 impl AnswerReason {
     pub fn name(self) -> &'static str {
         match self {
-            AnswerReason::Refused => "refused",
-            AnswerReason::GaveUp => "gave_up",
-            AnswerReason::Misunderstood => "misunderstood",
-            AnswerReason::SpokeEarly => "spoke_early",
-            AnswerReason::NoSignOfLife => "no_sign_of_life",
-            AnswerReason::NotPutBack => "not_put_back",
+            AnswerReason::Rejected => "refused",
+            AnswerReason::Released => "gave_up",
+            AnswerReason::InvalidFirstLine => "misunderstood",
+            AnswerReason::DataBeforeAnswer => "spoke_early",
+            AnswerReason::PingDeclined => "no_sign_of_life",
+            AnswerReason::RestoreFailed => "not_put_back",
             AnswerReason::Moved => "moved",
-            AnswerReason::LineNeverEnded => "line_never_ended",
+            AnswerReason::IncompleteLine => "line_never_ended",
         }
     }
 }
@@ -87,14 +87,14 @@
 
 /// Counts by name.
 #[derive(Default)]
-pub struct Tally(BTreeMap<&'static str, u64>);
+pub struct CountsByName(BTreeMap<&'static str, u64>);
 
-impl Tally {
+impl CountsByName {
     pub fn count(&mut self, name: &'static str) {
         *self.0.entry(name).or_default() += 1;
     }
 
-    fn told(&self) -> Value {
+    fn to_json(&self) -> Value {
         Value::Object(
             self.0.iter().map(|(name, count)| ((*name).to_owned(), json!(count))).collect::<Map<_, _>>(),
         )
@@ -107,16 +107,16 @@
     /// Attempts made, and how they ended.
     pub attempts: u64,
     pub retries: u64,
-    pub endings: Tally,
+    pub endings: CountsByName,
     /// Why no further attempt was made.
-    pub refusals: Tally,
-    pub answers: Tally,
-    pub closes: Tally,
+    pub refusals: CountsByName,
+    pub answers: CountsByName,
+    pub closes: CountsByName,
 }
 
 impl Counters {
-    pub fn told(&self) -> Value {
-        json!({"attempts": self.attempts, "retries": self.retries, "endings": self.endings.told(),
-               "refusals": self.refusals.told(), "answers": self.answers.told(), "closes": self.closes.told()})
+    pub fn to_json(&self) -> Value {
+        json!({"attempts": self.attempts, "retries": self.retries, "endings": self.endings.to_json(),
+               "refusals": self.refusals.to_json(), "answers": self.answers.to_json(), "closes": self.closes.to_json()})
     }
 }
--- a/crates/dewhead-proxy/src/memory/known.rs
+++ b/crates/dewhead-proxy/src/state/handover_state.rs
@@ -1,27 +1,27 @@
 //! What is known of the servers, in the form in which it is handed on: the list as discovery wrote it, what each server
 //! has shown, and how old that is.
 
-use super::pace::{Kinds, Pace};
-use crate::wire::listing::Version;
+use super::set_up_latency::{SetUpLatency, TypeMeans};
+use crate::wire::server_list::ListVersion;
 use dewhead::learned::Learned;
 use dewhead::terms::State;
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
 /// The version of what is handed on. Another one is not read: a successor then starts from the list alone.
-pub const VERSION: u64 = 2;
+pub const FORMAT_VERSION: u64 = 2;
 
 /// The list's entries as they were written, by host; one leaves when the list says gone or names it no more. As trees they
 /// took two thirds of all that a proxy holds for a server.
 #[derive(Default)]
-pub struct Entries(BTreeMap<String, Box<str>>);
+pub struct RawEntries(BTreeMap<String, Box<str>>);
 
-impl Entries {
-    pub fn follow(&mut self, whole: bool, version: &mut Version) {
+impl RawEntries {
+    pub fn apply(&mut self, whole: bool, version: &mut ListVersion) {
         if whole {
             self.0.clear();
         }
-        for ((host, text), (listed, _)) in version.texts.drain(..).zip(&version.entries) {
+        for ((host, text), (listed, _)) in version.raw_entries.drain(..).zip(&version.entries) {
             if listed.state == State::Gone {
                 self.0.remove(&host);
             } else {
@@ -31,14 +31,14 @@
     }
 
     /// The whole list, in discovery's form.
-    pub fn list(&self, version: u64) -> Value {
+    pub fn to_list(&self, version: u64) -> Value {
         let hosts: Vec<Value> = self.0.values().filter_map(|text| serde_json::from_str(text).ok()).collect();
         json!({"seq": version, "whole": true, "hosts": hosts})
     }
 }
 
-fn pace(pace: &Pace, now: f64) -> Value {
-    let (recent, usual, seen, at) = pace.told();
+fn pace(pace: &SetUpLatency, now: f64) -> Value {
+    let (recent, usual, seen, at) = pace.snapshot();
     json!([recent, usual, seen, if seen > 0 { now - at } else { 0.0 }])
 }
 
@@ -48,25 +48,25 @@
 }
 
 /// All of it, as of `now` on the Unix clock.
-pub fn write<'a>(
+pub fn encode<'a>(
     now: f64,
     list: Value,
     balancer: &[Learned],
-    paces: impl Iterator<Item = (u64, &'a Pace)>,
-    kinds: &Kinds,
+    paces: impl Iterator<Item = (u64, &'a SetUpLatency)>,
+    kinds: &TypeMeans,
 ) -> Value {
     let paces: Map<String, Value> = paces.map(|(id, one)| (id.to_string(), pace(one, now))).collect();
-    json!({"version": VERSION, "at": now, "list": list, "servers": balancer.iter().map(learned).collect::<Vec<_>>(),
-           "paces": paces, "kinds": kinds.told()})
+    json!({"version": FORMAT_VERSION, "at": now, "list": list, "servers": balancer.iter().map(learned).collect::<Vec<_>>(),
+           "paces": paces, "kinds": kinds.snapshot()})
 }
 
 /// What another has handed on. Anything that makes no sense is left out, as if it had not been learned.
-pub struct Handed {
-    pub at: f64,
+pub struct HandoverState {
+    pub encoded_at: f64,
     pub list: Value,
     pub servers: Vec<Learned>,
-    pub paces: BTreeMap<u64, (f64, f64, u32, f64)>,
-    pub kinds: Vec<(u32, f64)>,
+    pub set_up_latencies: BTreeMap<u64, (f64, f64, u32, f64)>,
+    pub type_means: Vec<(u32, f64)>,
 }
 
 fn whole(value: &Value) -> Option<u32> {
@@ -74,8 +74,8 @@
 }
 
 /// Reads it; none where the version is another.
-pub fn read(told: &Value) -> Option<Handed> {
-    if told["version"].as_u64() != Some(VERSION) {
+pub fn decode(told: &Value) -> Option<HandoverState> {
+    if told["version"].as_u64() != Some(FORMAT_VERSION) {
         return None;
     }
     let one = |value: &Value| {
@@ -98,11 +98,11 @@
         Some((id.parse().ok()?, figures))
     };
     let kind = |value: &Value| Some((whole(&value[0])?, value[1].as_f64()?));
-    Some(Handed {
-        at: told["at"].as_f64()?,
+    Some(HandoverState {
+        encoded_at: told["at"].as_f64()?,
         list: told["list"].clone(),
         servers: told["servers"].as_array()?.iter().filter_map(one).collect(),
-        paces: told["paces"].as_object()?.iter().filter_map(pace).collect(),
-        kinds: told["kinds"].as_array()?.iter().map(kind).collect::<Option<_>>().unwrap_or_default(),
+        set_up_latencies: told["paces"].as_object()?.iter().filter_map(pace).collect(),
+        type_means: told["kinds"].as_array()?.iter().map(kind).collect::<Option<_>>().unwrap_or_default(),
     })
 }
--- a/crates/dewhead-proxy/src/memory/servers.rs
+++ b/crates/dewhead-proxy/src/state/servers.rs
@@ -1,37 +1,37 @@
 //! Servers as the list names them: where each is reached, and how long a message takes there.
 
-use super::pace::Pace;
-use crate::wire::listing::Entry;
+use super::set_up_latency::SetUpLatency;
+use crate::wire::server_list::Entry;
 use dewhead::terms::State;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-pub struct Address {
+pub struct ServerRecord {
     pub dial: Option<SocketAddr>,
     pub state: State,
     pub zone: usize,
     pub cell: u64,
     pub weight: f64,
     /// When requests were sent there in the last window, while it is in slow start.
-    pub recent: VecDeque<f64>,
+    pub recent_sends: VecDeque<f64>,
     pub started: Option<f64>,
     /// The same as discovery tells it, by the wall clock.
-    pub born: Option<f64>,
-    pub pace: Pace,
+    pub started_by_wall_clock: Option<f64>,
+    pub set_up_latency: SetUpLatency,
     /// What a message takes here, by its lines and by its set-ups, and when each sign was last seen.
-    pub delays: [(f64, f64); 2],
+    pub message_delays: [(f64, f64); 2],
     /// When the module was last told of slow messages here, and whether they still were.
-    pub told_at: f64,
-    pub slow: bool,
+    pub delay_reported_at: f64,
+    pub slow_reported: bool,
 }
 
 /// By the module's number; an entry goes when the list says gone or names it no more.
 #[derive(Default)]
-pub struct Servers(pub BTreeMap<u64, Address>);
+pub struct Servers(pub BTreeMap<u64, ServerRecord>);
 
 impl Servers {
     /// Follows the list; returns the servers that have left it.
-    pub fn follow(&mut self, whole: bool, entries: &[Entry]) -> Vec<u64> {
+    pub fn apply(&mut self, whole: bool, entries: &[Entry]) -> Vec<u64> {
         let mut gone = Vec::new();
         if whole {
             let named: BTreeSet<u64> = entries.iter().map(|(l, _)| l.id).collect();
@@ -42,19 +42,19 @@
                 gone.push(listed.id);
                 continue;
             }
-            let fresh = Address {
+            let fresh = ServerRecord {
                 dial: None,
                 state: listed.state,
                 zone: listed.zone,
                 cell: listed.cell,
                 weight: listed.weight,
-                recent: VecDeque::new(),
+                recent_sends: VecDeque::new(),
                 started: listed.started,
-                born: None,
-                pace: Pace::default(),
-                delays: [(0.0, f64::NEG_INFINITY); 2],
-                told_at: f64::NEG_INFINITY,
-                slow: false,
+                started_by_wall_clock: None,
+                set_up_latency: SetUpLatency::default(),
+                message_delays: [(0.0, f64::NEG_INFINITY); 2],
+                delay_reported_at: f64::NEG_INFINITY,
+                slow_reported: false,
             };
             let address = self.0.entry(listed.id).or_insert(fresh);
             (address.state, address.zone, address.cell) = (listed.state, listed.zone, listed.cell);
@@ -63,9 +63,9 @@
             if address.started != listed.started {
                 // A process that started anew has a pace of its own.
                 address.started = listed.started;
-                address.pace = Pace::default();
-                address.recent.clear();
-                address.delays = [(0.0, f64::NEG_INFINITY); 2];
+                address.set_up_latency = SetUpLatency::default();
+                address.recent_sends.clear();
+                address.message_delays = [(0.0, f64::NEG_INFINITY); 2];
             }
         }
         for id in &gone {
--- a/crates/dewhead-proxy/src/memory/sessions.rs
+++ b/crates/dewhead-proxy/src/state/sessions.rs
@@ -2,8 +2,8 @@
 //! closed; a leg is one connection to a server for it.
 
 use super::timers::Timer;
-use crate::guard::Sent;
-use crate::wire::lines::Lines;
+use crate::guard::SentAttempt;
+use crate::wire::lines::LineScanner;
 use dewhead::state::Call;
 use dewhead::terms::{Ending, Wanted};
 use std::fmt;
@@ -12,61 +12,61 @@
 use std::rc::Rc;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Stage {
+pub enum SessionStage {
     /// Its first line has not come yet.
-    Greeting,
+    AwaitingFirstLine,
     /// The call waits for a server's answer.
-    Waiting,
+    AwaitingServer,
     /// It stood at a server before, and is put back there.
-    Returning,
-    Standing,
+    Restoring,
+    Established,
     /// Answered or ended; only its last bytes are on their way.
-    Parting,
+    Closing,
 }
 
 pub struct Session {
     /// Tells this holder of the slot from earlier ones.
     pub id: u64,
-    pub stage: Stage,
+    pub stage: SessionStage,
     /// The id that its client gave it, while its request is open.
-    pub named: Option<u64>,
+    pub request_id: Option<u64>,
     /// Its place among those that only wait for their client.
-    pub loiters: Option<u64>,
-    /// Lines of its client that asked for nothing but a sign of life.
+    pub idle_position: Option<u64>,
+    /// LineScanner of its client that asked for nothing but a sign of life.
     pub pings: u32,
     /// The first line; given back once the call stands.
-    pub head: Vec<u8>,
+    pub first_line: Vec<u8>,
     /// Where in it the client's waiting time stands.
-    pub wait: Range<usize>,
+    pub wait_range: Range<usize>,
     pub traffic: usize,
     pub call: Option<Rc<Call>>,
     /// Legs out: the number each has in the call, and its slot.
     pub legs: Vec<(usize, usize)>,
     /// Legs sent so far.
-    pub sent: usize,
-    /// Lines from the server to the client.
-    pub down: Lines,
-    /// Lines from the client: how many have had no line back, when the last came, and the oldest of them.
-    pub up: Lines,
-    pub asked: u32,
-    pub asked_at: f64,
-    pub unanswered: Option<f64>,
+    pub legs_sent: usize,
+    /// LineScanner from the server to the client.
+    pub from_server: LineScanner,
+    /// LineScanner from the client: how many have had no line back, when the last came, and the oldest of them.
+    pub from_client: LineScanner,
+    pub unanswered_lines: u32,
+    pub last_line_at: f64,
+    pub unanswered_since: Option<f64>,
     /// To be moved as soon as the server's present line is through, and how its leg then ends.
-    pub moving: Option<Ending>,
+    pub pending_move: Option<Ending>,
     /// For greeting, silence and parting, one after the other.
     pub timer: Option<Timer>,
     /// For the call's own wake and for leaving at a stop.
-    pub wake: Option<Timer>,
+    pub wake_timer: Option<Timer>,
     /// The first attempt that may have run, as the guard knows it.
-    pub ran: Option<Sent>,
+    pub may_have_run: Option<SentAttempt>,
     /// For `Returning`: the server that held it before, and what it wants.
-    pub returning: Option<(u64, Wanted)>,
+    pub restoring: Option<(u64, Wanted)>,
 }
 
 /// The client's id of a session, for the log: by it a request is followed through all proxies that it came to.
-pub struct Who(Option<u64>);
+pub struct LogId(Option<u64>);
 
-impl fmt::Display for Who {
+impl fmt::Display for LogId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(id) => write!(f, "{id:016x}"),
@@ -76,14 +76,14 @@
 }
 
 impl Session {
-    pub fn who(&self) -> Who {
-        Who(self.named)
+    pub fn log_id(&self) -> LogId {
+        LogId(self.request_id)
     }
 
     /// The leg that it stands on, also while its last lines go through.
-    pub fn bound(&self) -> Option<usize> {
+    pub fn established_leg(&self) -> Option<usize> {
         match self.stage {
-            Stage::Standing | Stage::Parting => self.legs.first().map(|(_, leg)| *leg),
+            SessionStage::Established | SessionStage::Closing => self.legs.first().map(|(_, leg)| *leg),
             _ => None,
         }
     }
@@ -95,27 +95,27 @@
     Queued,
     Connecting,
     /// The head's last byte is written.
-    Asked,
-    Standing,
-    Parting,
+    AwaitingAnswer,
+    Established,
+    Closing,
 }
 
-pub struct Out {
+pub struct ServerLeg {
     pub session: usize,
     /// Its number in the call.
     pub number: usize,
     pub server: u64,
     /// Where it was dialled.
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     pub stage: LegStage,
     /// The server's answer, until its line is whole; given back once the call stands.
     pub answer: Vec<u8>,
     /// Its connection is up by then, and the server has answered by then.
-    pub up_by: f64,
-    pub until: f64,
+    pub connect_by: f64,
+    pub answer_by: f64,
     /// When its head's last byte was written.
-    pub asked_at: f64,
+    pub head_sent_at: f64,
     pub timer: Option<Timer>,
     /// The last line said that the server ends the connection: served, or sent away.
-    pub farewell: Option<Ending>,
+    pub announced_ending: Option<Ending>,
 }
--- a/crates/dewhead-proxy/src/memory/pace.rs
+++ b/crates/dewhead-proxy/src/state/set_up_latency.rs
@@ -15,35 +15,35 @@
 
 /// One server's set-up times, as logarithms, and when the last was.
 #[derive(Default)]
-pub struct Pace {
+pub struct SetUpLatency {
     recent: f64,
-    usual: f64,
-    seen: u32,
-    at: f64,
+    typical: f64,
+    count: u32,
+    last_at: f64,
 }
 
 /// What the traffic types differ by: so many seen, and the mean of their logarithms; the last is that of all.
-pub struct Kinds(Vec<(u32, f64)>);
+pub struct TypeMeans(Vec<(u32, f64)>);
 
-impl Kinds {
-    pub fn new(traffic: usize) -> Kinds {
-        Kinds(vec![(0, 0.0); traffic + 1])
+impl TypeMeans {
+    pub fn new(traffic: usize) -> TypeMeans {
+        TypeMeans(vec![(0, 0.0); traffic + 1])
     }
 
     /// What they differ by, to be handed on.
-    pub fn told(&self) -> &[(u32, f64)] {
+    pub fn snapshot(&self) -> &[(u32, f64)] {
         &self.0
     }
 
     /// Takes up what another has found, where it knew as many types.
-    pub fn recall(&mut self, told: &[(u32, f64)]) {
+    pub fn restore(&mut self, told: &[(u32, f64)]) {
         if told.len() == self.0.len() && told.iter().all(|(_, mean)| mean.is_finite()) {
             self.0.copy_from_slice(told);
         }
     }
 
     /// The set-up's logarithm as it would be for a call of no special kind.
-    fn even(&mut self, traffic: usize, took: f64) -> f64 {
+    fn normalise(&mut self, traffic: usize, took: f64) -> f64 {
         let (log, all) = (took.max(1e-4).ln(), self.0.len() - 1);
         for at in [traffic.min(all), all] {
             let (seen, mean) = &mut self.0[at];
@@ -54,46 +54,46 @@
     }
 }
 
-impl Pace {
+impl SetUpLatency {
     /// Recent and usual times, how many were seen and when the last was.
-    pub fn told(&self) -> (f64, f64, u32, f64) {
-        (self.recent, self.usual, self.seen, self.at)
+    pub fn snapshot(&self) -> (f64, f64, u32, f64) {
+        (self.recent, self.typical, self.count, self.last_at)
     }
 
     /// One that another has seen, the last set-up `ago` seconds ago; one of its own where the figures make no sense.
-    pub fn recall(now: f64, (recent, usual, seen, ago): (f64, f64, u32, f64)) -> Pace {
-        if [recent, usual].iter().all(|x| x.abs() < 50.0) && ago >= 0.0 && ago.is_finite() {
-            Pace { recent, usual, seen, at: now - ago }
+    pub fn restore(now: f64, (recent, typical, count, ago): (f64, f64, u32, f64)) -> SetUpLatency {
+        if [recent, typical].iter().all(|x| x.abs() < 50.0) && ago >= 0.0 && ago.is_finite() {
+            SetUpLatency { recent, typical, count, last_at: now - ago }
         } else {
-            Pace::default()
+            SetUpLatency::default()
         }
     }
 
     /// A set-up was answered at `now`; what is recent fades in `fades` seconds. Returns by how much its server is
     /// slower than set-ups vary by themselves, 0 where it is not, or where both it and we have not run for long: `ran`.
-    pub fn set_up(
+    pub fn record(
         &mut self,
-        kinds: &mut Kinds,
+        kinds: &mut TypeMeans,
         traffic: usize,
         took: f64,
         (now, ran): (f64, f64),
         fades: f64,
     ) -> f64 {
-        let log = kinds.even(traffic, took);
-        self.seen = self.seen.saturating_add(1);
-        if self.seen == 1 {
-            (self.recent, self.usual) = (log, log);
+        let log = kinds.normalise(traffic, took);
+        self.count = self.count.saturating_add(1);
+        if self.count == 1 {
+            (self.recent, self.typical) = (log, log);
         }
-        let fade = (-(now - std::mem::replace(&mut self.at, now)).max(0.0) / fades).exp();
-        self.recent = self.usual + (self.recent - self.usual) * fade;
+        let fade = (-(now - std::mem::replace(&mut self.last_at, now)).max(0.0) / fades).exp();
+        self.recent = self.typical + (self.recent - self.typical) * fade;
         self.recent += (log - self.recent) * RECENT;
-        let settled = if log > self.usual { SLOWER } else { FASTER };
-        self.usual += (log - self.usual) * settled.max(1.0 / f64::from(self.seen.max(FEW)).powi(2));
+        let settled = if log > self.typical { SLOWER } else { FASTER };
+        self.typical += (log - self.typical) * settled.max(1.0 / f64::from(self.count.max(FEW)).powi(2));
         // A crowd that meets us just started, or a server just started, sets the first up at once and the others in
         // turn. Taken for slow, each server was cut to the little that it held by then, and the crowd turned away.
-        if self.seen < FEW || ran < fades * LEARNING {
+        if self.count < FEW || ran < fades * LEARNING {
             return 0.0;
         }
-        ((self.recent - self.usual).exp() / VARIES - 1.0).max(0.0)
+        ((self.recent - self.typical).exp() / VARIES - 1.0).max(0.0)
     }
 }
--- a/crates/dewhead-proxy/src/memory/start_times.rs
+++ b/crates/dewhead-proxy/src/state/start_times.rs
@@ -37,7 +37,7 @@
     /// When a server started on the process's clock, where the wall clock showed `born`, in seconds. It may have been
     /// written before or after a step: the latest time that is not in the future holds, so that a server that has just
     /// started is never taken for one that is warm.
-    pub fn started(&self, now: f64, born: f64) -> f64 {
+    pub fn to_process_clock(&self, now: f64, born: f64) -> f64 {
         let possible = self.ahead.iter().map(|ahead| born - ahead).filter(|at| *at <= now + SKEW);
         possible.reduce(f64::max).unwrap_or(now)
     }
--- a/crates/dewhead-proxy/src/transient.rs
+++ b/crates/dewhead-proxy/src/transient.rs
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// The call's last one.
-pub fn persist<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 1..TRIES {
         match call() {
             Err(error) if may_pass(&error) => std::thread::sleep(PAUSE),
--- a/crates/dewhead-proxy/src/turn.rs
+++ b/crates/dewhead-proxy/src/turn.rs
@@ -11,9 +11,9 @@
 use crate::lifecycle::notify::{Notify, Word};
 use crate::lifecycle::signals::Flags;
 use crate::lifecycle::stages::{Act, Life, Told};
-use crate::memory::links::Link;
 use crate::reducer::{Effect, End, Event, How, Reducer};
-use crate::transient::{is_transient, persist};
+use crate::state::buffered_socket::BufferedSocket;
+use crate::transient::{is_transient, retry_transient};
 use crate::wire::http;
 use log::{debug, error, info};
 use mio::net::{TcpListener, TcpStream, UnixStream};
@@ -104,10 +104,10 @@
     predecessor: Option<RetiringPredecessor>,
     /// Once this process has been told to stop: until when it waits for that one.
     predecessor_ends_by: Option<f64>,
-    watch: Option<Link>,
+    watch: Option<BufferedSocket>,
     /// Sockets by slot; one leaves with `Effect::Close`.
-    clients: Vec<Option<Link>>,
-    servers: Vec<Option<Link>>,
+    clients: Vec<Option<BufferedSocket>>,
+    servers: Vec<Option<BufferedSocket>>,
     /// The client just accepted, until the reducer names its slot.
     fresh: Option<TcpStream>,
     accepting: bool,
@@ -147,7 +147,7 @@
         signals: std::os::unix::net::UnixStream,
         (renewals, renewed): (std::os::unix::net::UnixStream, Renewed),
     ) -> io::Result<Turn> {
-        let poll = persist(Poll::new)?;
+        let poll = retry_transient(Poll::new)?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
         let heard = |told: std::os::unix::net::UnixStream, token| {
             told.set_nonblocking(true)?;
@@ -297,7 +297,7 @@
         while let Some(end) = self.broken.pop_front() {
             // What it sent before it broke still counts, above all a last word.
             self.read(now, end);
-            if self.link(end).is_some_and(|l| !l.ended) {
+            if self.link(end).is_some_and(|l| !l.read_ended) {
                 self.tell(now, Event::Closed(end, How::Broken), &[]);
             }
         }
@@ -347,7 +347,7 @@
         self.reread = (!done).then_some(Reread { at: now + REREAD_PAUSE, ..again });
     }
 
-    fn link(&mut self, end: End) -> Option<&mut Link> {
+    fn link(&mut self, end: End) -> Option<&mut BufferedSocket> {
         match end {
             End::Client(slot) => self.clients.get_mut(slot)?.as_mut(),
             End::Server(slot) => self.servers.get_mut(slot)?.as_mut(),
@@ -399,18 +399,18 @@
 
     fn flush(&mut self, now: f64, end: End) {
         let Some(link) = self.link(end) else { return };
-        if link.is_clear() {
+        if link.is_flushed() {
             return;
         }
         // The rest of a head goes out only for a client that is still there.
-        if let Some(client) = link.asking.then_some(end).and_then(|e| self.reducer.other(e)) {
+        if let Some(client) = link.head_pending.then_some(end).and_then(|e| self.reducer.other(e)) {
             self.read(now, client);
         }
         let Some(link) = self.link(end) else { return };
         match link.flush() {
             Ok(false) => {}
             Ok(true) => {
-                if std::mem::take(&mut link.asking) {
+                if std::mem::take(&mut link.head_pending) {
                     if let End::Server(leg) = end {
                         self.tell(now, Event::HeadWritten(leg), &[]);
                     }
@@ -431,8 +431,8 @@
         let reads = if self.reducer.other(end).is_some() { READS } else { 1 };
         for _ in 0..reads {
             let other = self.reducer.other(end);
-            let full = other.is_some_and(|o| self.link(o).is_some_and(|l| !l.is_clear()));
-            let Some(link) = self.link(end).filter(|l| !l.ended && !l.connecting) else {
+            let full = other.is_some_and(|o| self.link(o).is_some_and(|l| !l.is_flushed()));
+            let Some(link) = self.link(end).filter(|l| !l.read_ended && !l.connecting) else {
                 self.scratch = scratch;
                 return;
             };
@@ -442,7 +442,7 @@
             }
             match link.socket.read(&mut scratch) {
                 Ok(0) => {
-                    link.ended = true;
+                    link.read_ended = true;
                     self.tell(now, Event::Closed(end, How::Closed), &[]);
                     break;
                 }
@@ -453,20 +453,20 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
-                    link.ended = true;
+                    link.read_ended = true;
                     self.tell(now, Event::Closed(end, How::Broken), &[]);
                     break;
                 }
             }
         }
         self.scratch = scratch;
-        if self.link(end).is_some_and(|l| !l.ended && !l.readable) {
+        if self.link(end).is_some_and(|l| !l.read_ended && !l.readable) {
             self.again.push_back(end);
         }
     }
 
     fn watch_ready(&mut self, now: f64, writable: bool) {
-        if let Some(ahead) = self.clock.wall_ahead() {
+        if let Some(ahead) = self.clock.wall_clock_offset() {
             self.reducer.wall_clock_is_ahead(ahead);
         }
         let Some(link) = self.watch.as_mut() else { return };
@@ -506,8 +506,8 @@
         self.watch = None;
         let opened = TcpStream::connect(discovery).and_then(|mut socket| {
             self.poll.registry().register(&mut socket, WATCH, Interest::READABLE | Interest::WRITABLE)?;
-            let mut link = Link::new(socket, true);
-            link.write(&[&http::follow(&discovery.to_string(), since)])?;
+            let mut link = BufferedSocket::new(socket, true);
+            link.write(&[&http::watch_request(&discovery.to_string(), since)])?;
             Ok(link)
         });
         match opened {
@@ -538,7 +538,7 @@
                 Effect::Text(end, text) => self.write(end, &[&text]),
                 Effect::Finish(end) => {
                     if let Some(link) = self.link(end) {
-                        link.finish();
+                        link.finish_writing();
                     }
                 }
                 Effect::Close(end, how) => {
@@ -551,7 +551,7 @@
                     self.again.retain(|e| *e != end);
                     if let Some(link) = place.and_then(Option::take) {
                         if how == How::Broken {
-                            link.abort();
+                            link.reset_on_close();
                         }
                     }
                 }
@@ -577,7 +577,7 @@
         if places.len() <= slot {
             places.resize_with(slot + 1, || None);
         }
-        places[slot] = Some(Link::new(socket, connecting));
+        places[slot] = Some(BufferedSocket::new(socket, connecting));
     }
 
     fn dial(&mut self, now: f64, leg: usize, to: SocketAddr) {
@@ -618,9 +618,9 @@
         } else {
             link.write(&[&head[..wait.start], digits.as_bytes(), &head[wait.end..]])
         };
-        link.asking = !link.is_clear();
+        link.head_pending = !link.is_flushed();
         match outcome {
-            Ok(()) if link.asking => {}
+            Ok(()) if link.head_pending => {}
             Ok(()) => self.tell(now, Event::HeadWritten(leg), &[]),
             Err(_) => self.tell(now, Event::Closed(End::Server(leg), How::Broken), &[]),
         }
--- a/crates/dewhead-proxy/src/wire/answers.rs
+++ b/crates/dewhead-proxy/src/wire/answers.rs
@@ -2,10 +2,10 @@
 
 pub const PONG: &[u8] = b"PONG\r\n";
 pub const MOVE: &[u8] = b"MOVE\r\n";
-pub const FAILED: &[u8] = b"ERR\r\n";
+pub const ERR: &[u8] = b"ERR\r\n";
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Word {
+pub enum ServerMessage {
     Up,
     Bye,
     Move,
@@ -16,22 +16,22 @@
 }
 
 /// What a server's line says, told by its start.
-pub fn word(line: &[u8]) -> Word {
+pub fn parse_server_message(line: &[u8]) -> ServerMessage {
     let mut words = line.split(|b| *b == b' ');
     match words.next() {
-        Some(b"UP") => Word::Up,
-        Some(b"BYE") => Word::Bye,
-        Some(b"MOVE") => Word::Move,
-        Some(b"BUSY") => Word::Busy,
+        Some(b"UP") => ServerMessage::Up,
+        Some(b"BYE") => ServerMessage::Bye,
+        Some(b"MOVE") => ServerMessage::Move,
+        Some(b"BUSY") => ServerMessage::Busy,
         Some(b"LOAD") => {
             let amount = words.next().and_then(|w| std::str::from_utf8(w).ok()?.parse::<f64>().ok());
             match amount.filter(|a| a.is_finite() && *a >= 0.0) {
                 // Told in millionths of a core: microseconds of work a second.
-                Some(amount) => Word::Load(amount / 1e6),
-                None => Word::Other,
+                Some(amount) => ServerMessage::Load(amount / 1e6),
+                None => ServerMessage::Other,
             }
         }
-        _ => Word::Other,
+        _ => ServerMessage::Other,
     }
 }
 
--- a/crates/dewhead-proxy/src/wire/head.rs
+++ b/crates/dewhead-proxy/src/wire/first_line.rs
@@ -9,28 +9,28 @@
 
 /// What a connection begins with. Places are places in its line, which is kept and written out again.
 #[derive(Debug)]
-pub enum Opening {
+pub enum FirstLine {
     Ping,
     Open {
         /// The client's name for its request.
         id: u64,
         wanted: Wanted,
         /// Where the client's waiting time stands.
-        wait: Range<usize>,
+        wait_range: Range<usize>,
         /// Where the name of the server stands that holds the connection already.
-        held_at: Option<Range<usize>>,
+        server_range: Option<Range<usize>>,
     },
 }
 
 /// Reads the line in place. `now` is when it came; `longest` is how long a client waits that does not say. Each name
 /// that we know is checked, and may come once; others pass, as clients may send further figures.
-pub fn opening(
+pub fn parse_first_line(
     line: &[u8],
     now: f64,
     longest: f64,
     known: &Known,
     groups: bool,
-) -> Result<Opening, &'static str> {
+) -> Result<FirstLine, &'static str> {
     // It goes on as it came: what a server would not take for one line of text must not get that far.
     let text = line.strip_suffix(b"\r\n").ok_or("it does not end with CRLF")?;
     let text = std::str::from_utf8(text).map_err(|_| "not text")?;
@@ -38,7 +38,7 @@
         return Err("control characters");
     }
     if text == "PING" {
-        return Ok(Opening::Ping);
+        return Ok(FirstLine::Ping);
     }
     let mut parts = text.split(' ');
     if parts.next() != Some("OPEN") {
@@ -52,7 +52,7 @@
     }
     let mut wanted =
         Wanted { traffic: usize::MAX, shop: None, until: now + longest, hint: None, group: None };
-    let (mut wait, mut held_at, mut seen) = (0..0, None, [false; NAMES.len()]);
+    let (mut wait_range, mut server_range, mut seen) = (0..0, None, [false; NAMES.len()]);
     // The list is the line's last word.
     let mut at = text.len() - list.len();
     for pair in list.split(',') {
@@ -70,7 +70,7 @@
             "d" => {
                 let within = figure(value).filter(|ms| *ms > 0.0 && *ms <= f64::from(u32::MAX));
                 wanted.until = now + within.ok_or("a waiting time that is no number")? / 1000.0;
-                wait = place;
+                wait_range = place;
             }
             "g" => {
                 let group = hex(value).ok_or("a group that is not hex digits")?;
@@ -80,14 +80,14 @@
             "h" => wanted.hint = Some(figure(value).ok_or("a load that is no number")? / 1e6),
             "r" | "again" if !["0", "1"].contains(&value) => return Err("a mark that is neither 0 nor 1"),
             "at" if value.is_empty() => return Err("no server named"),
-            "at" => held_at = Some(place),
+            "at" => server_range = Some(place),
             _ => {}
         }
     }
     match wanted.traffic {
         usize::MAX => Err("no traffic type"),
-        _ if wait.is_empty() => Err("no waiting time"),
-        _ => Ok(Opening::Open { id, wanted, wait, held_at }),
+        _ if wait_range.is_empty() => Err("no waiting time"),
+        _ => Ok(FirstLine::Open { id, wanted, wait_range, server_range }),
     }
 }
 
--- a/crates/dewhead-proxy/src/wire/http.rs
+++ b/crates/dewhead-proxy/src/wire/http.rs
@@ -2,20 +2,20 @@
 
 /// The longest line of a watch; a longer one is a fault. An entry takes about 140 bytes and, once read, a kilobyte or so, and
 /// the smallest proxy has 32 MB: as many servers as one can hold have room in a line, and the line in it.
-const LONGEST: usize = 4 << 20;
-const LONGEST_HEAD: usize = 16 << 10;
+const MAX_LINE_BYTES: usize = 4 << 20;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// The request for all changes since a version.
-pub fn follow(host: &str, since: u64) -> Vec<u8> {
+pub fn watch_request(host: &str, since: u64) -> Vec<u8> {
     format!(
         "GET /v1/servers?follow=1&since={since} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
     )
     .into_bytes()
 }
 
-pub const TOO_LONG: &str = "a line is longer than 4 MiB; the list held is kept";
+pub const LINE_TOO_LONG: &str = "a line is longer than 4 MiB; the list held is kept";
 /// The fault of an answer that serves nothing.
-pub const TURNED_AWAY: &str = "it did not answer 200";
+pub const STATUS_NOT_OK: &str = "it did not answer 200";
 
 enum Body {
     Head,
@@ -29,19 +29,19 @@
 }
 
 /// Bytes of the answer that are not yet a line; both buffers go with the watch.
-pub struct Answer {
+pub struct WatchResponse {
     raw: Vec<u8>,
     line: Vec<u8>,
     body: Body,
 }
 
-impl Default for Answer {
-    fn default() -> Answer {
-        Answer { raw: Vec::new(), line: Vec::new(), body: Body::Head }
+impl Default for WatchResponse {
+    fn default() -> WatchResponse {
+        WatchResponse { raw: Vec::new(), line: Vec::new(), body: Body::Head }
     }
 }
 
-impl Answer {
+impl WatchResponse {
     /// Takes further bytes; `seen` is told each whole line, empty ones too. False: the answer is at its end.
     pub fn feed(&mut self, bytes: &[u8], mut seen: impl FnMut(&[u8])) -> Result<bool, &'static str> {
         self.raw.extend_from_slice(bytes);
@@ -54,7 +54,7 @@
                         rest = &rest[length..];
                         self.body = if chunked { Body::Size } else { Body::Plain };
                     }
-                    None if rest.len() > LONGEST_HEAD => return Err("its head is too long"),
+                    None if rest.len() > MAX_HEAD_BYTES => return Err("its head is too long"),
                     None => break true,
                 },
                 Body::Size => match httparse::parse_chunk_size(rest) {
@@ -101,13 +101,13 @@
 
     fn lines(&mut self, bytes: &[u8], seen: &mut impl FnMut(&[u8])) -> Result<(), &'static str> {
         for piece in bytes.split_inclusive(|b| *b == b'\n') {
-            if self.line.len() + piece.len() > LONGEST {
-                return Err(TOO_LONG);
+            if self.line.len() + piece.len() > MAX_LINE_BYTES {
+                return Err(LINE_TOO_LONG);
             }
             self.line.extend_from_slice(piece);
             if piece.ends_with(b"\n") {
                 let line = std::mem::take(&mut self.line);
-                seen(super::lines::trimmed(&line));
+                seen(super::lines::trim_line_end(&line));
             }
         }
         Ok(())
@@ -121,7 +121,7 @@
     match answer.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
             if answer.code != Some(200) {
-                return Err(TURNED_AWAY);
+                return Err(STATUS_NOT_OK);
             }
             let chunked = answer.headers.iter().any(|h| {
                 h.name.eq_ignore_ascii_case("transfer-encoding")
--- a/crates/dewhead-proxy/src/wire/lines.rs
+++ b/crates/dewhead-proxy/src/wire/lines.rs
@@ -1,19 +1,19 @@
-//! Lines of a stream whose bytes come cut anywhere.
+//! LineScanner of a stream whose bytes come cut anywhere.
 
 /// The longest line, with its end.
-pub const LONGEST: usize = 4096;
+pub const MAX_LINE_BYTES: usize = 4096;
 /// As much of a line's start as is looked at once a call stands.
 const START: usize = 32;
 
 #[derive(Default)]
-pub struct Lines {
+pub struct LineScanner {
     start: [u8; START],
     length: usize,
 }
 
-impl Lines {
+impl LineScanner {
     /// Whether the stream stands between two lines.
-    pub fn between(&self) -> bool {
+    pub fn is_between_lines(&self) -> bool {
         self.length == 0
     }
 
@@ -31,7 +31,7 @@
             at += piece.len();
             if end.is_some() {
                 let whole = &self.start[..self.length.min(START)];
-                seen(trimmed(whole), at);
+                seen(trim_line_end(whole), at);
                 self.length = 0;
             }
         }
@@ -39,16 +39,16 @@
 }
 
 /// The line without its end.
-pub fn trimmed(line: &[u8]) -> &[u8] {
+pub fn trim_line_end(line: &[u8]) -> &[u8] {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     line.strip_suffix(b"\r").unwrap_or(line)
 }
 
 /// Where the first line ends, with its end; an error once it is longer than a line may be.
-pub fn first(bytes: &[u8]) -> Result<Option<usize>, &'static str> {
-    match bytes.iter().take(LONGEST).position(|b| *b == b'\n') {
+pub fn first_line_end(bytes: &[u8]) -> Result<Option<usize>, &'static str> {
+    match bytes.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') {
         Some(at) => Ok(Some(at + 1)),
-        None if bytes.len() >= LONGEST => Err("a line is too long"),
+        None if bytes.len() >= MAX_LINE_BYTES => Err("a line is too long"),
         None => Ok(None),
     }
 }
--- a/crates/dewhead-proxy/src/wire/mod.rs
+++ b/crates/dewhead-proxy/src/wire/mod.rs
@@ -1,7 +1,7 @@
 //! What is spoken: pure functions on bytes, with no socket and no clock.
 
 pub mod answers;
-pub mod head;
+pub mod first_line;
 pub mod http;
 pub mod lines;
-pub mod listing;
+pub mod server_list;
--- a/crates/dewhead-proxy/tests/clock.rs
+++ b/crates/dewhead-proxy/tests/clock.rs
@@ -5,7 +5,7 @@
 use common::loopback::{entry, faults, Place, Proxy};
 use common::{list, settings};
 use dewhead_faults::plan::{ClockStep, Plan};
-use dewhead_proxy::memory::start_times::WallClock;
+use dewhead_proxy::state::start_times::WallClock;
 use serde_json::json;
 use std::io::Write;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -65,11 +65,11 @@
     for step in [HOUR, -HOUR] {
         let mut wall = WallClock::default();
         assert_eq!(wall.observe(0.02), None, "less than a reading may be wrong by");
-        assert_eq!(wall.started(now, now - 5.0), now - 5.0);
+        assert_eq!(wall.to_process_clock(now, now - 5.0), now - 5.0);
         assert_eq!(wall.observe(step), Some(step));
-        assert_eq!(wall.started(now, now - 5.0), now - 5.0, "written before the step");
-        assert_eq!(wall.started(now, now - 5.0 + step), now - 5.0, "written after it");
-        assert_eq!(wall.started(now, now + 2.0 * HOUR), now, "not by any clock that was seen");
+        assert_eq!(wall.to_process_clock(now, now - 5.0), now - 5.0, "written before the step");
+        assert_eq!(wall.to_process_clock(now, now - 5.0 + step), now - 5.0, "written after it");
+        assert_eq!(wall.to_process_clock(now, now + 2.0 * HOUR), now, "not by any clock that was seen");
     }
 }
 
@@ -81,10 +81,10 @@
         assert!(wall.observe(f64::from(step) * HOUR).is_some());
     }
     let now = 1e6;
-    assert_eq!(wall.started(now, now + 100.0 * HOUR), now);
-    assert_eq!(wall.started(now, now - 5.0 + 93.0 * HOUR), now - 5.0);
+    assert_eq!(wall.to_process_clock(now, now + 100.0 * HOUR), now);
+    assert_eq!(wall.to_process_clock(now, now - 5.0 + 93.0 * HOUR), now - 5.0);
     assert_eq!(
-        wall.started(now, now - 5.0 + 92.0 * HOUR),
+        wall.to_process_clock(now, now - 5.0 + 92.0 * HOUR),
         now - 5.0 - HOUR,
         "forgotten: by the one after it"
     );
--- a/crates/dewhead-proxy/tests/handover.rs
+++ b/crates/dewhead-proxy/tests/handover.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::processes::{Place, Process};
-use dewhead_proxy::memory::known;
 use dewhead_proxy::reducer::Event;
+use dewhead_proxy::state::handover_state;
 use serde_json::json;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::net::UnixStream;
@@ -167,14 +167,14 @@
     let (_, leg) = stand.standing();
     stand.tell(Event::Closed(dewhead_proxy::reducer::End::Server(leg), dewhead_proxy::reducer::How::Broken));
     let told = stand.reducer.hand_on(stand.now);
-    let read = known::read(&told).expect("it is this version's");
+    let read = handover_state::decode(&told).expect("it is this version's");
     assert_eq!(read.list["hosts"].as_array().unwrap().len(), 4);
     assert!(!read.servers.is_empty());
     // Another process, with the list that was handed on.
     let mut next = common::Stand::new(256, read.list.clone());
     next.reducer.take_up(next.now + 1.0, &read);
-    let again = known::read(&next.reducer.hand_on(next.now + 1.0)).unwrap();
-    let limits = |h: &known::Handed| {
+    let again = handover_state::decode(&next.reducer.hand_on(next.now + 1.0)).unwrap();
+    let limits = |h: &handover_state::HandoverState| {
         h.servers.iter().filter_map(|s| s.limit.map(|l| (s.server, l.0))).collect::<Vec<_>>()
     };
     assert!(!limits(&read).is_empty(), "a limit was learned: {told}");
@@ -182,17 +182,17 @@
     let (aged, fresh) = (again.servers[0].limit.unwrap().1, read.servers[0].limit.unwrap().1);
     assert!((aged - fresh - 1.0).abs() < 1e-6, "it is a second older: {fresh}, {aged}");
     // Nonsense, another version and old news take nothing down and bring nothing in.
-    assert!(known::read(&json!({"version": 99})).is_none());
+    assert!(handover_state::decode(&json!({"version": 99})).is_none());
     let mut bad = told.clone();
     bad["servers"][0]["limit"] = json!([-1e300, "x"]);
     bad["servers"].as_array_mut().unwrap().push(json!("x"));
     bad["paces"] = json!({"x": [], "7": [1e300, 0, 1, -5]});
     let mut other = common::Stand::new(256, read.list.clone());
-    other.reducer.take_up(other.now, &known::read(&bad).unwrap());
-    assert!(limits(&known::read(&other.reducer.hand_on(other.now)).unwrap()).is_empty());
+    other.reducer.take_up(other.now, &handover_state::decode(&bad).unwrap());
+    assert!(limits(&handover_state::decode(&other.reducer.hand_on(other.now)).unwrap()).is_empty());
     let mut late = common::Stand::new(256, read.list.clone());
     late.reducer.take_up(late.now + 1e4, &read);
-    assert!(limits(&known::read(&late.reducer.hand_on(late.now + 1e4)).unwrap()).is_empty());
+    assert!(limits(&handover_state::decode(&late.reducer.hand_on(late.now + 1e4)).unwrap()).is_empty());
     // A server that has started anew is unknown.
     let mut anew = read.list.clone();
     for host in anew["hosts"].as_array_mut().unwrap() {
@@ -200,5 +200,5 @@
     }
     let mut started = common::Stand::new(256, anew);
     started.reducer.take_up(started.now, &read);
-    assert!(limits(&known::read(&started.reducer.hand_on(started.now)).unwrap()).is_empty());
+    assert!(limits(&handover_state::decode(&started.reducer.hand_on(started.now)).unwrap()).is_empty());
 }
--- a/crates/dewhead-proxy/tests/links.rs
+++ b/crates/dewhead-proxy/tests/links.rs
@@ -1,6 +1,6 @@
 //! Writing to sockets that take less than they are given.
 
-use dewhead_proxy::memory::links::write_parts;
+use dewhead_proxy::state::buffered_socket::write_parts;
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice, Write};
 
--- a/crates/dewhead-proxy/tests/wire.rs
+++ b/crates/dewhead-proxy/tests/wire.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use dewhead_proxy::wire::answers::{word, Word};
-use dewhead_proxy::wire::head::{opening, Opening};
-use dewhead_proxy::wire::http::Answer;
-use dewhead_proxy::wire::lines::Lines;
-use dewhead_proxy::wire::listing::{listing, number_of};
+use dewhead_proxy::wire::answers::{parse_server_message, ServerMessage};
+use dewhead_proxy::wire::first_line::{parse_first_line, FirstLine};
+use dewhead_proxy::wire::http::WatchResponse;
+use dewhead_proxy::wire::lines::LineScanner;
+use dewhead_proxy::wire::server_list::{parse_list, server_id};
 use dewhead_startup::Startup;
 use quickcheck::{Gen, QuickCheck};
 
@@ -14,7 +14,7 @@
 fn a_watch_is_read_the_same_wherever_it_is_cut() {
     let text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n4\r\n{\"a\"\r\n6;x=1\r\n:1}\n\r\n\r\n1\r\n\n\r\n0\r\n\r\n";
     let read = |pieces: &[&[u8]]| {
-        let (mut answer, mut lines, mut more) = (Answer::default(), Vec::new(), Ok(true));
+        let (mut answer, mut lines, mut more) = (WatchResponse::default(), Vec::new(), Ok(true));
         for piece in pieces {
             more = answer.feed(piece, |line| lines.push(String::from_utf8_lossy(line).into_owned()));
             if more != Ok(true) {
@@ -36,16 +36,16 @@
 fn lines_are_seen_the_same_wherever_they_are_cut() {
     let text = format!("UP 1\r\nLOAD 12.5\r\n{}\r\nBYE\r\nrest", "y".repeat(100));
     let read = |pieces: &[&str]| {
-        let (mut lines, mut seen) = (Lines::default(), Vec::new());
+        let (mut lines, mut seen) = (LineScanner::default(), Vec::new());
         for piece in pieces {
-            lines.feed(piece.as_bytes(), |line, _| seen.push((word(line), line.len())));
+            lines.feed(piece.as_bytes(), |line, _| seen.push((parse_server_message(line), line.len())));
         }
-        (seen, lines.between())
+        (seen, lines.is_between_lines())
     };
     let whole = read(&[&text]);
     assert_eq!(
         whole.0.iter().map(|(w, _)| *w).collect::<Vec<_>>(),
-        [Word::Up, Word::Load(12.5e-6), Word::Other, Word::Bye]
+        [ServerMessage::Up, ServerMessage::Load(12.5e-6), ServerMessage::Other, ServerMessage::Bye]
     );
     assert!(!whole.1);
     for at in 1..text.len() {
@@ -59,14 +59,14 @@
     let startup = Startup::read(&common::settings()).unwrap();
     let line =
         b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=order,t=shop-b,d=2000,g=0000000000000001,h=19461.105\r\n";
-    match opening(line, 10.0, 3.0, &startup.known, true) {
-        Ok(Opening::Open { id, wanted, wait, held_at }) => {
-            assert_eq!(word(b"LOAD 19461.105"), Word::Load(wanted.hint.unwrap()));
+    match parse_first_line(line, 10.0, 3.0, &startup.known, true) {
+        Ok(FirstLine::Open { id, wanted, wait_range, server_range }) => {
+            assert_eq!(parse_server_message(b"LOAD 19461.105"), ServerMessage::Load(wanted.hint.unwrap()));
             assert_eq!(
                 (wanted.traffic, wanted.shop, wanted.group, wanted.until),
                 (1, Some(1), Some(1), 12.0)
             );
-            assert_eq!((&line[wait], held_at), (&b"2000"[..], None));
+            assert_eq!((&line[wait_range], server_range), (&b"2000"[..], None));
             assert_eq!(id, 0x9b1f_03aa_5c7e_2d41);
         }
         other => panic!("{other:?}"),
@@ -79,8 +79,8 @@
     let startup = Startup::read(&common::settings()).unwrap();
     let (id, key) = ("9b1f03aa5c7e2d41", "7f3a9c21e0b4d655");
     let understood = |line: String| {
-        let read = opening(line.as_bytes(), 0.0, 3.0, &startup.known, false);
-        matches!(read, Ok(Opening::Open { .. }))
+        let read = parse_first_line(line.as_bytes(), 0.0, 3.0, &startup.known, false);
+        matches!(read, Ok(FirstLine::Open { .. }))
     };
     let full = "c=feed,t=shop-a,d=1500,g=5c0f6e1a2b3d4c59,h=12.5,r=1,again=1,zz=\u{e9},x=";
     assert!(understood(format!("OPEN {id} {key} {full}\r\n")));
@@ -136,12 +136,14 @@
         with_head.extend_from_slice(&bytes);
         with_head.extend_from_slice(b",d=5\r\n");
         for line in [&bytes, &with_head] {
-            if let Ok(Opening::Open { wait, held_at, .. }) = opening(line, 0.0, 1.0, &startup.known, true) {
-                assert!(wait.end <= line.len() && held_at.is_none_or(|at| at.end <= line.len()));
+            if let Ok(FirstLine::Open { wait_range, server_range, .. }) =
+                parse_first_line(line, 0.0, 1.0, &startup.known, true)
+            {
+                assert!(wait_range.end <= line.len() && server_range.is_none_or(|at| at.end <= line.len()));
             }
-            let _ = word(line);
+            let _ = parse_server_message(line);
         }
-        let mut answer = Answer::default();
+        let mut answer = WatchResponse::default();
         let mut chunks = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         chunks.extend_from_slice(&bytes);
         let at = cut % (chunks.len() + 1);
@@ -149,7 +151,7 @@
             let _ = answer.feed(&chunks[at..], |_| ());
         }
         if let Ok(told) = serde_json::from_slice(&bytes) {
-            let _ = listing(&told, &startup.known.zones);
+            let _ = parse_list(&told, &startup.known.zones);
         }
         true
     }
@@ -162,11 +164,11 @@
 /// The module ranks servers by their number: were it to change, proxies of two versions would rank them differently.
 #[test]
 fn a_server_is_numbered_by_its_host_name_alone() {
-    assert_eq!(number_of("s-5be2a07c"), number_of("s-5be2a07c"));
-    let all: std::collections::BTreeSet<u64> = (0..2000).map(|n| number_of(&format!("s-{n:08x}"))).collect();
+    assert_eq!(server_id("s-5be2a07c"), server_id("s-5be2a07c"));
+    let all: std::collections::BTreeSet<u64> = (0..2000).map(|n| server_id(&format!("s-{n:08x}"))).collect();
     assert_eq!(all.len(), 2000);
     let (_, _, entries) =
-        listing(&common::list(1, true, vec![common::host(3, "ready")]), &common::ZONES.map(str::to_owned))
+        parse_list(&common::list(1, true, vec![common::host(3, "ready")]), &common::ZONES.map(str::to_owned))
             .unwrap();
-    assert_eq!(entries[0].0.id, number_of("s-3"));
+    assert_eq!(entries[0].0.id, server_id("s-3"));
 }
