--- a/crates/dewhead-proxy/src/lib.rs
+++ b/crates/dewhead-proxy/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod event_loop;
 pub mod guard;
 pub mod lifecycle;
-pub mod memory;
 pub mod reducer;
+pub mod state;
 pub mod transient;
 pub mod wire;
