--- a/crates/dewhead/src/host_interface.rs
+++ b/crates/dewhead/src/host_interface.rs
@@ -1,28 +1,32 @@
-//! What a balancer asks of whatever hosts it. Ids are used here, at the door, and nowhere behind it.
+//! The interface through which a balancer acts. The program that embeds the library implements it.
+//!
+//! Calls and servers are named by their ids here; inside the library they are references.
 
 use crate::refusal::Refusal;
 
+/// What a balancer asks of the program that embeds it. All times are seconds.
 pub trait BalancerHost {
-    /// Start a leg of a call; `limit` is its time-out in seconds.
+    /// Starts a leg of a call at a server; `limit` is the leg's time-out.
     fn send_leg(&self, call: u64, server: u64, limit: f64);
-    /// Final answer: rejected. `max_retry_after` is how long the client is asked to wait, in seconds.
-    fn reject(&self, call: u64, max_retry_after: Option<f64>);
-    /// Final answer: released, with no promise about its effect.
+    /// Gives the final answer "rejected". `retry_after` is how long the client is asked to wait before it tries again.
+    fn reject(&self, call: u64, retry_after: Option<f64>);
+    /// Gives the final answer "released", which promises nothing about the call's effect.
     fn release(&self, call: u64);
-    /// Why the answer that comes next, rejected or released, says no. Hosts that keep no counters pass it over.
-    fn note_refusal(&self, _call: u64, _why: Refusal) {}
-    /// Stop waiting for one leg.
+    /// Reports why the call is rejected or released next. Hosts without refusal counters ignore it.
+    fn note_refusal(&self, _call: u64, _reason: Refusal) {}
+    /// Cancels one leg of a call.
     fn cancel_leg(&self, call: u64, leg: u32);
-    /// End a standing connection politely; its client comes again.
+    /// Closes an established connection in an orderly way, so that its client connects again.
     fn relocate(&self, call: u64);
-    /// Call `Call::on_timer` at `at`.
+    /// Requests that `Call::on_timer` is called at the time `at`.
     fn set_call_timer(&self, call: u64, at: f64);
-    /// Call `Balancer::on_timer` at `at`.
+    /// Requests that `Balancer::on_timer` is called at the time `at`.
     fn set_timer(&self, at: f64);
-    /// Follow the list of servers from now on.
+    /// Subscribes to the list of servers.
     fn subscribe_to_list(&self);
-    /// Ask a server for its load; `Balancer::on_probe_result` tells what came back. False where hosts have no word for it.
+    /// Requests a server's load; the answer arrives through `Balancer::on_probe_result`. Returns false if the host's
+    /// protocol has no probes.
     fn probe(&self, server: u64) -> bool;
-    /// A line for the operators.
+    /// Writes a line to the operators' log.
     fn log(&self, text: &str);
 }
--- a/crates/dewhead/src/lib.rs
+++ b/crates/dewhead/src/lib.rs
@@ -1,5 +1,9 @@
-//! dewhead decides where long-lived connections go. The decisions stand in [`rules`], what it asks of its
-//! surroundings in [`host_interface`], and the plain words both share in [`types`].
+//! Decides which server each call and its long-lived connection are sent to.
+//!
+//! [`rules`] makes the decisions over the data in [`state`], [`slow_start`] limits what is sent to servers that have
+//! just started, and [`refusal`] names the reasons for which a call is not sent on. [`host_interface`] is what the
+//! library needs from the program around it, [`types`] holds the data types that both share, and [`snapshot`] hands
+//! what a balancer knows of its servers to a successor.
 
 pub mod host_interface;
 pub mod refusal;
--- a/crates/dewhead/src/refusal.rs
+++ b/crates/dewhead/src/refusal.rs
@@ -1,33 +1,34 @@
-//! Why a call was not sent on: the reasons that logs and counters tell.
+//! The reasons for which a call is not sent on, as logs and counters name them.
 
 use std::fmt;
 
-/// Why no further attempt was made for a call.
+/// Why no further leg was sent for a call.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Refusal {
     /// No server is listed as ready.
     NoServer,
-    /// Each ready server is at its limit, or has just said that it is full.
+    /// Every ready server is at its limit or has just reported a full queue.
     AtLimit,
-    /// Servers of which nothing is known are taken to be as full as the known ones.
+    /// Servers with unknown load are assumed to be as full as the known ones of their zone.
     UnknownLoad,
-    /// Servers in slow start have no budget left for this balancer.
+    /// This balancer's budget for servers in slow start is used up.
     SlowStart,
     /// The call's group may not spread to further servers.
     GroupSpread,
-    /// Each server left looks sick, or has had this call before.
+    /// Every remaining server appears unhealthy or has had a leg of this call.
     Unhealthy,
-    /// An earlier attempt may have run, and no server left may see a repeat.
+    /// An earlier leg may have run, and no remaining server may receive a repeat.
     RepeatForbidden,
-    /// All attempts that a call may have are made.
+    /// The call has used all the legs it may have.
     AttemptsSpent,
     /// The client's waiting time is over.
     TimeOver,
-    /// Attempts fail everywhere, so that a further one would only add load.
+    /// Legs fail at all servers, so a further one would only add load.
     SharedFault,
 }
 
 impl Refusal {
+    /// All reasons, in the order of their declaration.
     pub const ALL: [Refusal; 10] = [
         Refusal::NoServer,
         Refusal::AtLimit,
@@ -64,18 +65,19 @@
     }
 }
 
-/// How many servers one selection passed over, by reason.
+/// The number of servers that one selection skipped, by reason.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct SkipCounts([u32; Refusal::ALL.len()]);
 
 impl SkipCounts {
-    pub fn record(&mut self, why: Refusal) {
-        self.0[why as usize] += 1;
+    /// Counts one skipped server.
+    pub fn record(&mut self, reason: Refusal) {
+        self.0[reason as usize] += 1;
     }
 
-    /// The reason that most servers were passed over for; none listed is a reason of its own.
+    /// The reason for which most servers were skipped; `NoServer` if none were.
     pub fn main_reason(&self) -> Refusal {
-        let most = Refusal::ALL.into_iter().max_by_key(|why| self.0[*why as usize]);
-        most.filter(|why| self.0[*why as usize] > 0).unwrap_or(Refusal::NoServer)
+        let main = Refusal::ALL.into_iter().max_by_key(|reason| self.0[*reason as usize]);
+        main.filter(|reason| self.0[*reason as usize] > 0).unwrap_or(Refusal::NoServer)
     }
 }
