--- a/crates/dewhead/src/rules.rs
+++ b/crates/dewhead/src/rules.rs
@@ -1,12 +1,13 @@
-//! All decisions of the balancer.
+//! The decisions of the balancer: where calls are sent, when servers' limits are cut and which connections are relocated.
 //!
-//! How to call it: build the parts of `state.rs` (`ListSubscription`, `Locality`, `TenantShares`, `SlowStart`, `LegPolicy`) from the few
-//! settings each takes, hand them to `Balancer::new` with a seed and the door (`host_interface.rs`), call `start`,
-//! then tell it what happens. `accept_call` gives a handle to the call, and all that happens to the call later is a
-//! method of that handle. Every method takes the clock; the module has none, and no I/O. Words: `types.rs`.
+//! To use it, build the settings of `state.rs` (`ListSubscription`, `Locality`, `TenantShares`, `SlowStart`,
+//! `LegPolicy`), pass them to `Balancer::new` with a seed and the host (`host_interface.rs`), call `start` and then
+//! report events. `accept_call` returns a handle to the call; later events of the call are reported by the handle's
+//! methods. Every method takes the present time, as the module has no clock and does no I/O. The data types are in
+//! `types.rs`.
 
 use crate::refusal::{Refusal, SkipCounts};
-use crate::slow_start::{rank, GOLDEN};
+use crate::slow_start::{rank, GOLDEN_RATIO};
 use crate::state::{
     Balancer, Call, Health, Leg, ListSubscription, Locality, Server, Stage, TenantShares, ZoneAvailability,
 };
@@ -16,559 +17,644 @@
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 
-/// Loads are summed as whole billionths of a core, so that what was added is exactly what is taken off again.
-const GRAIN: f64 = 1e9;
-/// K of the paper's Eq. 2, in seconds.
-const K: f64 = 0.2;
-/// A server is judged by its last few outcomes: this many.
-const FEW: u32 = 8;
-/// A server is overdriven once a message takes this part of the shortest message target.
-const SLOW: f64 = 1.0 / 3.0;
-/// Work piled up at a server is to be gone in this part of the longest guard time.
-const DRAIN: f64 = 1.0;
-/// A timer may come this much early, as clocks are rounded on their way; else the next ask was lost.
-const EARLY: f64 = 1e-3;
-/// A leg not yet answered counts as this many mean connections more.
-const WAITING: f64 = 2.0;
-/// A server takes new connections up to this part of its limit; the rest is for what changes of itself.
-const ROOM: f64 = 0.85;
-/// A cut of a limit shows in this part of the longest guard time; until then no further one is made.
-const SETTLE: f64 = 0.3;
-/// A cut leaves at least this part of the load, as a first delay told may be a chance one.
-const LEAST: f64 = 0.3;
-/// Connections that break together are more than one in this many of those held.
-const APART: u32 = 16;
-/// Connections come home where Eq. 1 would have them there at this part of the price of crossing.
-const EASE: f64 = 0.7;
-/// A server without a group's calls counts as so many mean connections more, and one for each part it ranks lower.
-const BASE: f64 = 2.0;
-/// A server that holds as many as the mean one counts as this many mean connections more, where the list tells.
-const CROWDED: f64 = 2.0;
-/// The least that servers are taken to hold a core, the emptiest apart, when they are compared.
-const LITTLE: f64 = 0.1;
-/// A report is as good as a new one for this part of the longest guard time.
-const KNOWN: f64 = 0.5;
-/// A call waits for a probe's answer this part of its setup target.
-const HEARD: f64 = 0.125;
-/// An outcome counts, and a lost trust lasts, for this many of the longest guard times.
-const MEMORY: f64 = 4.0;
-/// A limit grows back by an e-fold in this many of the longest guard times.
-const REGROWN: f64 = 3.0;
-/// A group spills over to servers that rank this many parts of it down, and fewer as servers close.
-const SPILL: f64 = 3.0;
-/// With room nowhere else, a server is relieved once a message takes this many of the shortest message targets.
-const LATE: f64 = 3.0;
+/// Loads are summed as whole nanocores, so that removing a load undoes exactly what adding it did.
+const NANOCORES_PER_CORE: f64 = 1e9;
+/// K of the paper's Eq. 2, the time constant of the smoothing, in seconds.
+const SMOOTHING_TIME: f64 = 0.2;
+/// The number of latest outcomes by which health is judged.
+const HEALTH_OUTCOMES: u32 = 8;
+/// The message delay from which a server counts as overloaded, in multiples of the shortest message target.
+const OVERLOAD_DELAY: f64 = 1.0 / 3.0;
+/// The time in which a server should work off its backlog, in multiples of the longest guard time.
+const BACKLOG_DRAIN_TIME: f64 = 1.0;
+/// How early a timer may fire, in seconds, as hosts round times. Without it the retry of a subscription was lost.
+const TIMER_TOLERANCE: f64 = 1e-3;
+/// The additional cost of a leg without an answer, in mean connections.
+const PENDING_LEG_COST: f64 = 2.0;
+/// The share of a server's limit that new connections may fill; the rest is for load changes of existing ones.
+const NEW_CONNECTION_SHARE: f64 = 0.85;
+/// The time after which a cut limit shows its effect, in multiples of the longest guard time. No further cut before.
+const CUT_SETTLE_TIME: f64 = 0.3;
+/// The share of a server's load that a cut leaves at least, as a first high delay may be chance.
+const MIN_CUT_FACTOR: f64 = 0.3;
+/// Breaks are attributed to the server if more than one in this many of the connections there break together.
+const CONNECTIONS_PER_BREAK: u32 = 16;
+/// The share of the crossing cost at which Eq. 1 must prefer the home zone for connections to be relocated there.
+const RELOCATE_HOME_CROSSING_SHARE: f64 = 0.7;
+/// The cost of a server without a group's calls, in mean connections. Rank adds one for each multiple of the group's
+/// share.
+const NEW_GROUP_COST: f64 = 2.0;
+/// The cost of a server of mean occupancy, in mean connections, where weights or probes reveal the occupancy.
+const OCCUPANCY_COST: f64 = 2.0;
+/// The lowest mean occupancy that servers are compared with, as load per core beyond that of the emptiest server.
+const MIN_MEAN_OCCUPANCY: f64 = 0.1;
+/// How long a load report makes a probe unnecessary, in multiples of the longest guard time.
+const REPORT_FRESH_TIME: f64 = 0.5;
+/// How long a call waits for a probe's answer, in multiples of its setup target.
+const PROBE_WAIT: f64 = 0.125;
+/// How long an outcome counts, and an unhealthy server stays so by it, in multiples of the longest guard time.
+const OUTCOME_MEMORY: f64 = 4.0;
+/// The time in which a cut limit first grows by a factor of e, in multiples of the longest guard time.
+const LIMIT_GROWTH_TIME: f64 = 3.0;
+/// The rank down to which a group spreads, in multiples of the group's share; less as servers close.
+const GROUP_SPREAD: f64 = 3.0;
+/// The message delay from which connections are relocated even if no other server has room, in multiples of the
+/// shortest message target.
+const FORCED_RELOCATION_DELAY: f64 = 3.0;
 
 impl ListSubscription {
-    /// The pause after a failed call: doubling, spread out, and never so long that a list ages past its use.
-    fn pause(&self, chance: f64) -> f64 {
+    /// The delay before a failed request is repeated. It doubles with each failure, is spread by `jitter` (0 to 1), and
+    /// stays short enough for the list not to become too old to be used.
+    fn retry_delay(&self, jitter: f64) -> f64 {
         let failures = self.failures.get();
         self.failures.set(failures.saturating_add(1));
-        self.subscribe_within / 64.0 * f64::from(1u32 << failures.min(4)) * (0.5 + chance)
+        self.subscribe_within / 64.0 * f64::from(1u32 << failures.min(4)) * (0.5 + jitter)
     }
 }
 
 impl Locality {
-    /// `price` is what crossing costs a call, and `moving` what a move costs, against 1 for serving it.
-    pub fn new(home: usize, price: f64, moving: f64) -> Locality {
-        let homecoming = price > 4.0 * moving;
-        Locality { home: home as u32, parts: 10.0 * price, abroad: Cell::new(1.0), homecoming }
+    /// `crossing_price` is what it costs to serve a call in another zone, and `move_price` what a relocation costs, both
+    /// relative to the call's revenue.
+    pub fn new(home_zone: usize, crossing_price: f64, move_price: f64) -> Locality {
+        let relocates_home = crossing_price > 4.0 * move_price;
+        Locality {
+            home_zone: home_zone as u32,
+            crossing_cost: 10.0 * crossing_price,
+            remote_factor: Cell::new(1.0),
+            relocates_home,
+        }
     }
 
-    /// `home` is the part of all servers, by weight, that stand there. Crossing costs parts of what a server holds of
-    /// the whole: in parts of what home alone would hold it grew as home shrank, and home took all until it fell.
-    fn settle(&self, home: f64) {
-        self.abroad.set((1.0 - self.parts * home) / (1.0 + self.parts * (1.0 - home)));
+    /// `home_share` is the home zone's share of the ready servers' weight. The cost of crossing is relative to a server's
+    /// share of the whole load. Relative to its share if the home zone held everything, the cost grew as the home zone
+    /// shrank, and the home zone received all calls until it failed.
+    fn update_remote_factor(&self, home_share: f64) {
+        self.remote_factor
+            .set((1.0 - self.crossing_cost * home_share) / (1.0 + self.crossing_cost * (1.0 - home_share)));
     }
 
-    pub(crate) fn factor(&self, zone: u32, part_of_price: f64) -> f64 {
-        1.0 - f64::from(u8::from(zone != self.home)) * (1.0 - self.abroad.get()) * part_of_price
+    /// The factor on R_i for a server in `zone` if this share of the crossing cost counts.
+    pub(crate) fn factor(&self, zone: u32, crossing_share: f64) -> f64 {
+        1.0 - f64::from(u8::from(zone != self.home_zone)) * (1.0 - self.remote_factor.get()) * crossing_share
     }
 }
 
 impl ZoneAvailability {
-    fn tally(&self, weight: f64, closed: bool) {
-        let (all, shut) = self.known.get();
-        self.known.set((all + weight, shut + if closed { weight } else { 0.0 }));
+    /// Counts a server with known load in the current pass.
+    fn count(&self, weight: f64, closed: bool) {
+        let (total, closed_weight) = self.counted.get();
+        self.counted.set((total + weight, closed_weight + if closed { weight } else { 0.0 }));
     }
 
-    fn settle(&self) {
-        let (all, shut) = self.known.replace((0.0, 0.0));
-        self.closed.set(if all > 0.0 { shut / all } else { 0.0 });
+    /// Computes the closed share from the current pass and starts a new one.
+    fn finish_pass(&self) {
+        let (total, closed_weight) = self.counted.replace((0.0, 0.0));
+        self.closed_share.set(if total > 0.0 { closed_weight / total } else { 0.0 });
     }
 }
 
 impl TenantShares {
-    fn count(&self, shop: Option<usize>, change: i32) {
-        if let Some(held) = shop.and_then(|s| self.held.get(s)) {
-            held.set(held.get().saturating_add_signed(change));
+    fn add_connections(&self, tenant: Option<usize>, change: i32) {
+        if let Some(connections) = tenant.and_then(|t| self.connections.get(t)) {
+            connections.set(connections.get().saturating_add_signed(change));
         }
     }
 
-    /// 1 within the shop's share, less beyond: this balancer's part of it is one of `siblings`.
-    fn worth(&self, shop: Option<usize>, siblings: f64) -> f64 {
-        match shop
-            .and_then(|s| Some((self.shops.get(s)?.quota_connections / siblings, self.held.get(s)?.get())))
-        {
-            Some((part, held)) if part > 0.0 && f64::from(held) > part => self.beyond,
+    /// 1 within the tenant's quota, less beyond it. This balancer's part of the quota is one of `balancer_count`.
+    fn revenue_factor(&self, tenant: Option<usize>, balancer_count: f64) -> f64 {
+        match tenant.and_then(|t| {
+            Some((self.tenants.get(t)?.quota_connections / balancer_count, self.connections.get(t)?.get()))
+        }) {
+            Some((quota, connections)) if quota > 0.0 && f64::from(connections) > quota => {
+                self.overage_revenue
+            }
             _ => 1.0,
         }
     }
 }
 
 impl Health {
-    fn judge(&self, now: f64, well: bool) {
-        self.outcomes.set((self.outcomes.get() << 1 | u32::from(well)) & ((1 << FEW) - 1));
-        self.counted.set((self.counted.get() + 1).min(FEW));
-        self.judged_at.set(now);
-    }
-
-    /// Fewer than half of the last few outcomes, `least` of them or more, were well. Sparse ones age.
-    fn sick(&self, now: f64, memory: f64, least: u32) -> bool {
-        if now - self.judged_at.get() > memory {
-            self.counted.set(0);
+    /// Adds an outcome.
+    fn record(&self, now: f64, success: bool) {
+        self.outcomes.set((self.outcomes.get() << 1 | u32::from(success)) & ((1 << HEALTH_OUTCOMES) - 1));
+        self.outcome_count.set((self.outcome_count.get() + 1).min(HEALTH_OUTCOMES));
+        self.last_outcome_at.set(now);
+    }
+
+    /// Whether fewer than half of the latest outcomes, of which there must be `min_outcomes`, were successes. After
+    /// `memory` seconds without an outcome all are forgotten.
+    fn is_unhealthy(&self, now: f64, memory: f64, min_outcomes: u32) -> bool {
+        if now - self.last_outcome_at.get() > memory {
+            self.outcome_count.set(0);
             self.outcomes.set(0);
         }
-        let (well, counted) = (self.outcomes.get().count_ones(), self.counted.get());
-        counted >= least && 2 * well < counted
+        let (successes, count) = (self.outcomes.get().count_ones(), self.outcome_count.get());
+        count >= min_outcomes && 2 * successes < count
     }
 }
 
 impl Server {
-    /// The limit now. It grows back slowly at first, so that a server just cut is not driven at once again,
-    /// and faster later, as what is known of it ages: by an e-fold in `growth` seconds.
-    fn limit(&self, now: f64, growth: f64) -> f64 {
+    /// The limit now. It grows by a factor of e within `growth_time` seconds: slowly at first, so that a server whose
+    /// limit was just cut is not overloaded again at once, and faster later, as what is known of the server ages.
+    fn limit(&self, now: f64, growth_time: f64) -> f64 {
         if self.limit.get().is_finite() {
-            self.limit.get() * ((now - self.cut_at.get()) / growth).powi(2).exp()
+            self.limit.get() * ((now - self.limit_cut_at.get()) / growth_time).powi(2).exp()
         } else {
             f64::INFINITY
         }
     }
 
-    /// Overdriven: what it holds now, less a part, is the most it carries. Far under what it carried since
-    /// the last cut, a crowd's set-up is the likelier cause, and so small a limit would turn it away.
-    fn cut(&self, now: f64, part: f64, growth: f64, mean: f64) {
-        let (load, carried) = (self.load.get() as f64, self.carried.get());
-        let most = if load + 2.0 * mean < 0.7 * carried { 0.9 * carried } else { load * part };
-        // A limit of nothing would never grow back: the least grows to one mean connection while an outcome counts.
-        let least = mean * (-(MEMORY / REGROWN).powi(2)).exp();
-        self.limit.set(self.limit(now, growth).min(most.max(least)));
-        self.carried.set(self.limit.get());
-        self.cut_at.set(now);
+    /// Cuts the limit of an overloaded server to `factor` times its present load. If the load is far below its peak since
+    /// the last cut, the cause is more likely the set-up of many connections at once, and a limit that low would refuse
+    /// them; the limit then follows the peak. `mean_load` is the mean connection's, in nanocores.
+    fn cut_limit(&self, now: f64, factor: f64, growth_time: f64, mean_load: f64) {
+        let (load, peak_load) = (self.load.get() as f64, self.peak_load.get());
+        let target = if load + 2.0 * mean_load < 0.7 * peak_load { 0.9 * peak_load } else { load * factor };
+        // A limit of zero would never grow back. The lowest one grows to one mean connection while an outcome counts.
+        let lowest = mean_load * (-(OUTCOME_MEMORY / LIMIT_GROWTH_TIME).powi(2)).exp();
+        self.limit.set(self.limit(now, growth_time).min(target.max(lowest)));
+        self.peak_load.set(self.limit.get());
+        self.limit_cut_at.set(now);
     }
 }
 
 impl Balancer {
-    /// Begins: asks for the list where it must be asked for, and sets the timers that this deployment needs.
+    /// Starts the balancer: subscribes to the list of servers and sets timers, where the settings require it.
     pub fn start(&self, now: f64) {
-        self.began.set(now);
-        if self.watch.required {
+        self.started_at.set(now);
+        if self.list_subscription.required {
             self.host.subscribe_to_list();
         }
-        if self.place.homecoming {
-            self.home_at.set(now);
+        if self.locality.relocates_home {
+            self.relocate_home_at.set(now);
             self.host.set_timer(now);
         }
     }
 
-    fn draw(&self) -> f64 {
-        self.chance.borrow_mut().rand_float()
+    /// A random number from 0 to 1.
+    fn random(&self) -> f64 {
+        self.rng.borrow_mut().rand_float()
     }
 
-    /// Where this balancer rounds its part of a server up. The golden section spreads the balancers evenly
-    /// for each server, so that many small parts, rounded to whole connections, add up to its share.
-    fn rounding(&self, server: u64) -> f64 {
-        (rank(0, server) + self.position * GOLDEN).fract()
+    /// The point at which this balancer rounds its part of a server up. The golden ratio spreads the balancers' points
+    /// evenly for each server, so that many small parts, rounded to whole connections, add up to the server's share.
+    fn rounding_offset(&self, server: u64) -> f64 {
+        (rank(0, server) + self.position * GOLDEN_RATIO).fract()
     }
 
-    /// What the list's weight says of a server's size: nothing where it moves with load.
-    pub(crate) fn size(&self, server: &Server) -> f64 {
-        if self.live {
+    /// A server's relative size as far as the list's weight shows it; 1 where weights follow load.
+    pub(crate) fn server_size(&self, server: &Server) -> f64 {
+        if self.weights_follow_load {
             1.0
         } else {
             server.weight.get()
         }
     }
 
-    /// How long an outcome counts, and a lost trust lasts: a few of the longest waits a client accepts.
-    fn memory(&self) -> f64 {
-        MEMORY * self.longest_guard
+    /// How long an outcome counts, in seconds.
+    fn outcome_memory(&self) -> f64 {
+        OUTCOME_MEMORY * self.longest_guard
     }
 
+    /// Handles the timer that the balancer requested.
     pub fn on_timer(&self, now: f64) {
-        if now + EARLY >= self.ask_at.get() {
-            self.ask_at.set(f64::INFINITY);
+        if now + TIMER_TOLERANCE >= self.resubscribe_at.get() {
+            self.resubscribe_at.set(f64::INFINITY);
             self.host.subscribe_to_list();
         }
-        if now + EARLY >= self.home_at.get() {
-            self.call_home(now);
+        if now + TIMER_TOLERANCE >= self.relocate_home_at.get() {
+            self.relocate_home(now);
         }
     }
 
-    /// Connections that stand abroad, after a spill or from before our start, come home while there is room:
-    /// the lightest first, a hundredth of what stands here at a time, none while home is near its limits.
-    fn call_home(&self, now: f64) {
+    /// Relocates connections from other zones, where they were placed when home was full or before this balancer started,
+    /// to the home zone while that has room: the lightest first, a hundredth of this balancer's connections at a time.
+    fn relocate_home(&self, now: f64) {
         let at = now + 0.05 * self.longest_guard;
-        self.home_at.set(at);
+        self.relocate_home_at.set(at);
         self.host.set_timer(at);
-        let (servers, memory) = (self.servers.borrow(), self.memory());
-        let mut room =
-            servers.iter().filter(|s| s.zone == self.place.home && s.state.get() == ServerState::Ready);
-        let roomy = |s: &Rc<Server>| {
-            let asked = s.report.get().map_or(0.0, |(asked, _)| asked);
-            s.load.get() as f64 <= 0.5 * s.limit(now, memory) && asked < 0.7 && !s.health.sick(now, memory, 2)
+        let (servers, memory) = (self.servers.borrow(), self.outcome_memory());
+        let mut home_servers = servers
+            .iter()
+            .filter(|s| s.zone == self.locality.home_zone && s.state.get() == ServerState::Ready);
+        let has_room = |s: &Rc<Server>| {
+            let reported_load = s.load_report.get().map_or(0.0, |(reported_load, _)| reported_load);
+            s.load.get() as f64 <= 0.5 * s.limit(now, memory)
+                && reported_load < 0.7
+                && !s.health.is_unhealthy(now, memory, 2)
         };
-        // With less than a connection a server room is not seen: 300 balancers took home for empty, and crowded it.
-        let ready = servers.iter().filter(|s| s.state.get() == ServerState::Ready).count();
-        let unseen = (self.held.get() as usize) < ready;
-        // Called home while others are turned away, connections would only join those.
-        if unseen || !room.any(roomy) || now - self.refused_at.get() < self.longest_guard {
+        // With fewer connections than servers, a balancer can't tell whether there is room: 300 balancers took the home
+        // zone for empty and overfilled it.
+        let ready_count = servers.iter().filter(|s| s.state.get() == ServerState::Ready).count();
+        let too_few_to_tell = (self.connections.get() as usize) < ready_count;
+        // While calls are being refused, relocated connections would only be refused as well.
+        if too_few_to_tell
+            || !home_servers.any(has_room)
+            || now - self.last_refusal_at.get() < self.longest_guard
+        {
             return;
         }
-        let mut abroad: Vec<Rc<Call>> = Vec::new();
-        for server in servers.iter().filter(|s| s.zone != self.place.home) {
-            abroad.extend(server.calls.borrow().values().filter_map(Weak::upgrade));
+        let mut remote_calls: Vec<Rc<Call>> = Vec::new();
+        for server in servers.iter().filter(|s| s.zone != self.locality.home_zone) {
+            remote_calls.extend(server.calls.borrow().values().filter_map(Weak::upgrade));
         }
-        abroad.retain(|c| c.stage.get() == Stage::Standing && now - c.taken_at > self.longest_guard);
-        abroad.sort_by(|a, b| a.rate.get().total_cmp(&b.rate.get()));
+        remote_calls
+            .retain(|c| c.stage.get() == Stage::Established && now - c.accepted_at > self.longest_guard);
+        remote_calls.sort_by(|a, b| a.load_in_use.get().total_cmp(&b.load_in_use.get()));
         drop(servers);
-        // Only where Eq. 1 would clearly place them at home: with few connections, some server there always seems
-        // free, and at the whole price who had come home went abroad again as often (experiment calm).
-        let home =
-            abroad.first().and_then(|c| self.pick(now, c, EASE)).is_some_and(|s| s.zone == self.place.home);
-        for call in abroad.iter().take((self.held.get() as usize).div_ceil(100)).filter(|_| home) {
+        // Only if Eq. 1 clearly prefers the home zone. With few connections some server there always appears free, and at
+        // the full crossing cost as many connections left the home zone again as were relocated to it (experiment calm).
+        let prefers_home = remote_calls
+            .first()
+            .and_then(|c| self.find_server(now, c, RELOCATE_HOME_CROSSING_SHARE))
+            .is_some_and(|s| s.zone == self.locality.home_zone);
+        for call in
+            remote_calls.iter().take((self.connections.get() as usize).div_ceil(100)).filter(|_| prefers_home)
+        {
             self.host.relocate(call.id);
         }
     }
 
-    pub fn on_list_update(&self, now: f64, news: ListUpdate, entries: &[ServerEntry]) {
-        if news == ListUpdate::Failed {
-            if self.watch.required && self.ask_at.get().is_infinite() {
-                let at = now + self.watch.pause(self.draw());
-                self.ask_at.set(at);
+    /// Applies an update of the list of servers.
+    pub fn on_list_update(&self, now: f64, update: ListUpdate, entries: &[ServerEntry]) {
+        if update == ListUpdate::Failed {
+            if self.list_subscription.required && self.resubscribe_at.get().is_infinite() {
+                let at = now + self.list_subscription.retry_delay(self.random());
+                self.resubscribe_at.set(at);
                 self.host.set_timer(at);
             }
             return;
         }
-        if news != ListUpdate::Cached {
-            self.watch.failures.set(0);
+        if update != ListUpdate::Cached {
+            self.list_subscription.failures.set(0);
         }
         let mut servers = self.servers.borrow_mut();
-        if matches!(news, ListUpdate::Full | ListUpdate::Cached) {
-            // A server missing from a whole list is gone.
+        if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
+            // A server that is missing from a complete list is gone.
             servers.iter().for_each(|s| s.state.set(ServerState::Gone));
         }
-        for listed in entries {
-            match servers.binary_search_by_key(&listed.id, |s| s.id) {
-                Ok(at) => {
-                    let server = &servers[at];
-                    server.state.set(listed.state);
-                    server.weight.set(listed.weight);
-                    let started = listed.started.unwrap_or(f64::NEG_INFINITY);
+        for entry in entries {
+            match servers.binary_search_by_key(&entry.id, |s| s.id) {
+                Ok(index) => {
+                    let server = &servers[index];
+                    server.state.set(entry.state);
+                    server.weight.set(entry.weight);
+                    let started = entry.started.unwrap_or(f64::NEG_INFINITY);
                     if started > server.started.get() {
-                        server.begins_anew(now, started);
+                        server.reset_for_restart(now, started);
                     }
                 }
-                Err(at) => servers.insert(at, Server::new(now, listed, self.rounding(listed.id))),
+                Err(index) => servers.insert(index, Server::new(now, entry, self.rounding_offset(entry.id))),
             }
         }
-        // To look at all of them for each change would cost what the whole fleet does.
-        if news != ListUpdate::Delta || entries.iter().any(|e| e.state == ServerState::Gone) {
-            servers.retain(|s| s.state.get() != ServerState::Gone || s.held.get() > 0);
+        // Looking at all servers for each delta would take time in proportion to the fleet's size.
+        if update != ListUpdate::Delta || entries.iter().any(|e| e.state == ServerState::Gone) {
+            servers.retain(|s| s.state.get() != ServerState::Gone || s.connections.get() > 0);
         }
     }
 
-    pub(crate) fn named(&self, id: u64) -> Option<Rc<Server>> {
+    pub(crate) fn server_by_id(&self, id: u64) -> Option<Rc<Server>> {
         let servers = self.servers.borrow();
-        servers.binary_search_by_key(&id, |s| s.id).ok().map(|at| servers[at].clone())
+        servers.binary_search_by_key(&id, |s| s.id).ok().map(|index| servers[index].clone())
     }
 
-    /// A probe's answer: what is asked of the server over what it can do; none where it did not tell.
-    pub fn on_probe_result(&self, now: f64, server: u64, asked: Option<f64>) {
-        let Some(server) = self.named(server) else { return };
-        if let Some(asked) = asked {
-            server.report.set(Some((asked, now)));
+    /// Handles a probe's answer. `reported_load` is the server's offered load over its capacity; `None` if the answer
+    /// had none.
+    pub fn on_probe_result(&self, now: f64, server: u64, reported_load: Option<f64>) {
+        let Some(server) = self.server_by_id(server) else { return };
+        if let Some(reported_load) = reported_load {
+            server.load_report.set(Some((reported_load, now)));
         }
-        let waiting = server.probing.take();
-        waiting.iter().filter_map(Weak::upgrade).for_each(|call| call.go_on(now));
+        let waiters = server.probe_waiters.take();
+        waiters.iter().filter_map(Weak::upgrade).for_each(|call| call.finish_probe(now));
     }
 
-    /// A call has come in. The handle is all that its events need.
+    /// Accepts a new call and starts to serve it. All later events of the call are reported through the handle.
     pub fn accept_call(&self, now: f64, id: u64, request: CallRequest) -> Rc<Call> {
-        let call = self.handle(now, id, request);
-        call.next_leg_or_give_up(now);
+        let call = self.new_call(now, id, request);
+        call.send_leg_or_refuse(now);
         call
     }
 
-    /// A connection that stands already.
+    /// Adds a connection that is already established at `server`.
     pub fn adopt_connection(&self, now: f64, id: u64, request: CallRequest, server: u64) -> Rc<Call> {
-        let call = self.handle(now, id, request);
-        // A server that no list has named yet holds it all the same.
-        let server = self.named(server).unwrap_or_else(|| {
-            let unlisted = ServerEntry::unlisted(server, self.place.home as usize);
-            Server::new(now, &unlisted, self.rounding(server))
+        let call = self.new_call(now, id, request);
+        // The connection counts even if no list has named its server yet.
+        let server = self.server_by_id(server).unwrap_or_else(|| {
+            let unlisted = ServerEntry::unlisted(server, self.locality.home_zone as usize);
+            Server::new(now, &unlisted, self.rounding_offset(server))
         });
-        call.place(now, server);
-        call.legs.borrow_mut().iter_mut().for_each(Leg::answered);
-        call.stage.set(Stage::Standing);
+        call.add_leg(now, server);
+        call.legs.borrow_mut().iter_mut().for_each(Leg::mark_answered);
+        call.stage.set(Stage::Established);
         call
     }
 
-    fn handle(&self, now: f64, id: u64, request: CallRequest) -> Rc<Call> {
-        let rate = request.load_hint.unwrap_or_else(|| self.mean_load());
+    fn new_call(&self, now: f64, id: u64, request: CallRequest) -> Rc<Call> {
+        let load = request.load_hint.unwrap_or_else(|| self.mean_load());
         Rc::new(Call {
-            balancer: self.me.upgrade().expect("a balancer that is called is alive"),
+            balancer: self.weak_self.upgrade().expect("the balancer exists while its methods run"),
             id,
-            until: Cell::new(request.deadline),
+            deadline: Cell::new(request.deadline),
             request,
-            taken_at: now,
-            stage: Cell::new(Stage::Waiting),
+            accepted_at: now,
+            stage: Cell::new(Stage::Pending),
             legs: RefCell::new(Vec::new()),
             may_have_run: Cell::new(None),
-            bound: Cell::new(0),
-            rate: Cell::new(rate),
-            busy: Cell::new(1.0),
-            read_at: Cell::new(now),
-            probe: Cell::new(None),
-            due: Cell::new(f64::INFINITY),
+            established_leg: Cell::new(0),
+            load_in_use: Cell::new(load),
+            share_in_use: Cell::new(1.0),
+            load_updated_at: Cell::new(now),
+            awaits_probe: Cell::new(None),
+            timer_due_at: Cell::new(f64::INFINITY),
         })
     }
 
-    /// The mean load of a standing connection here; one where nothing stands.
+    /// The mean load of this balancer's connections, in cores; 1 if there are none.
     pub(crate) fn mean_load(&self) -> f64 {
-        match self.held.get() {
+        match self.connections.get() {
             0 => 1.0,
-            held => self.load.get() as f64 / GRAIN / f64::from(held),
+            connections => self.load.get() as f64 / NANOCORES_PER_CORE / f64::from(connections),
         }
     }
 
-    /// Eq. 1 over the servers that may be sent to now: the most R_i less own predicted load, ties at random.
-    /// `price` is the part of the price of crossing that counts.
-    fn pick(&self, now: f64, call: &Call, price: f64) -> Option<Rc<Server>> {
-        self.select(now, call, price).ok()
+    /// The server by Eq. 1 among those that may be sent to now: the one with the highest R_i less its own predicted load,
+    /// at random among equals. `crossing_share` is the share of the cost of crossing zones that counts.
+    fn find_server(&self, now: f64, call: &Call, crossing_share: f64) -> Option<Rc<Server>> {
+        self.select_server(now, call, crossing_share).ok()
     }
 
-    /// As `pick`; where there is no server, the reason that most of them were passed over for.
-    fn select(&self, now: f64, call: &Call, price: f64) -> Result<Rc<Server>, Refusal> {
+    /// The same as `find_server`, or if there is no server the reason for which most were skipped.
+    fn select_server(&self, now: f64, call: &Call, crossing_share: f64) -> Result<Rc<Server>, Refusal> {
         let mut skipped = SkipCounts::default();
         let servers = self.servers.borrow();
-        let (memory, total) = (self.memory(), self.load.get() as f64);
-        // Incident iadd0bb: summed up apart, without a branch, the servers come into the cache many at a
-        // time; the decisions below would else wait for memory at each of them.
-        let (mut home, mut ready, mut count) = (0.0, 0.0, 0.0);
-        let (mut emptiest, mut inverse, mut held): (f64, f64, f64) = (0.0, 0.0, 0.0);
+        let (memory, total_load) = (self.outcome_memory(), self.load.get() as f64);
+        // Incident iadd0bb: this pass computes the sums without branches, so that the processor loads many servers into
+        // its cache at a time. Otherwise the decisions below wait for memory at each server.
+        let (mut home_weight, mut ready_weight, mut ready_count) = (0.0, 0.0, 0.0);
+        let (mut highest_weight, mut inverse_weights, mut near_connections): (f64, f64, f64) =
+            (0.0, 0.0, 0.0);
         for server in servers.iter() {
-            let at_home = f64::from(u8::from(server.zone == self.place.home));
-            held += at_home * f64::from(server.held.get());
-            let here = f64::from(u8::from(server.state.get() == ServerState::Ready));
-            let weight = self.size(server);
-            home += here * weight * at_home;
-            ready += here * weight;
-            count += here;
-            emptiest = emptiest.max(here * server.weight.get());
-            inverse += here / server.weight.get().max(f64::MIN_POSITIVE);
-        }
-        self.place.settle(home / f64::max(ready, f64::MIN_POSITIVE));
-        let abroad = |part| self.place.factor(u32::MAX, part).max(0.0);
-        let (near, ours) = (home + (ready - home) * abroad(price), home + (ready - home) * abroad(1.0));
-        held += (f64::from(self.held.get()) - held) * abroad(1.0);
-        // What a crowd has just brought is not yet what a server carries: it counts over the warm-up. Not so what comes
-        // back to a balancer that has started itself: in a rolling restart none else had a part to fill new servers by.
-        let (held, before) = (held / f64::max(ours, f64::MIN_POSITIVE), self.held_by_weight.get());
-        let gap = (now - self.picked_at.replace(now)).max(0.0) / self.slow_start.warm_after;
-        let young = now - self.began.get() < self.slow_start.warm_after;
-        let rise = if young { 0.0 } else { (held - before).max(0.0) * (-gap).exp() };
-        self.held_by_weight.set(held - rise);
-        self.most_near.set(self.most_near.get().max(ours));
-        // Where weights move with load, a weight is a size over one more than what the server holds a core: how much
-        // more than the emptiest, against the mean of that over all. All balancers are told the same, so that what
-        // one alone can't see, with a few connections on many servers, is seen.
-        let crowded = |server: &Server| emptiest / server.weight.get().max(f64::MIN_POSITIVE) - 1.0;
-        let crowd = (emptiest * inverse / f64::max(count, 1.0) - 1.0).max(LITTLE);
-        let per_weight = total / near.max(f64::MIN_POSITIVE);
-        let mean_share = per_weight * ready / f64::max(count, 1.0);
-        let (mean, rate) = (self.mean_load() * GRAIN, call.rate.get() * GRAIN);
-        let growth = REGROWN * self.longest_guard;
-        // A shop beyond its share stops earlier, so that the others keep theirs when there is not enough.
-        let room = ROOM * (0.5 + 0.5 * self.shares.worth(call.request.tenant, self.siblings));
-        let (legs, part) = (call.legs.borrow(), self.part(call));
+            let at_home = f64::from(u8::from(server.zone == self.locality.home_zone));
+            near_connections += at_home * f64::from(server.connections.get());
+            let ready = f64::from(u8::from(server.state.get() == ServerState::Ready));
+            let size = self.server_size(server);
+            home_weight += ready * size * at_home;
+            ready_weight += ready * size;
+            ready_count += ready;
+            highest_weight = highest_weight.max(ready * server.weight.get());
+            inverse_weights += ready / server.weight.get().max(f64::MIN_POSITIVE);
+        }
+        self.locality.update_remote_factor(home_weight / f64::max(ready_weight, f64::MIN_POSITIVE));
+        let remote_factor = |share| self.locality.factor(u32::MAX, share).max(0.0);
+        let (effective_weight, near_weight) = (
+            home_weight + (ready_weight - home_weight) * remote_factor(crossing_share),
+            home_weight + (ready_weight - home_weight) * remote_factor(1.0),
+        );
+        near_connections += (f64::from(self.connections.get()) - near_connections) * remote_factor(1.0);
+        // A sudden rise in connections counts only gradually, over the warm-up time, as it is not yet what servers carry.
+        // A balancer that has just started counts its returning connections at once: otherwise no balancer had a
+        // share by which to fill new servers during a rolling restart.
+        let (connections_per_weight, previous) =
+            (near_connections / f64::max(near_weight, f64::MIN_POSITIVE), self.connections_per_weight.get());
+        let elapsed = (now - self.last_selection_at.replace(now)).max(0.0) / self.slow_start.warm_after;
+        let just_started = now - self.started_at.get() < self.slow_start.warm_after;
+        let uncounted_rise =
+            if just_started { 0.0 } else { (connections_per_weight - previous).max(0.0) * (-elapsed).exp() };
+        self.connections_per_weight.set(connections_per_weight - uncounted_rise);
+        self.peak_near_weight.set(self.peak_near_weight.get().max(near_weight));
+        // Where weights follow load, a weight is the server's size over one more than its load per core. Occupancy is how
+        // much more load a server has than the emptiest one, and is compared with the mean over all servers. Every
+        // balancer receives the same weights, so they show load that one balancer with few connections can't see.
+        let occupancy = |server: &Server| highest_weight / server.weight.get().max(f64::MIN_POSITIVE) - 1.0;
+        let mean_occupancy =
+            (highest_weight * inverse_weights / f64::max(ready_count, 1.0) - 1.0).max(MIN_MEAN_OCCUPANCY);
+        let load_per_weight = total_load / effective_weight.max(f64::MIN_POSITIVE);
+        let mean_share = load_per_weight * ready_weight / f64::max(ready_count, 1.0);
+        let (mean_load, call_load) =
+            (self.mean_load() * NANOCORES_PER_CORE, call.load_in_use.get() * NANOCORES_PER_CORE);
+        let growth_time = LIMIT_GROWTH_TIME * self.longest_guard;
+        // Calls beyond their tenant's quota are refused earlier, so that the other tenants keep theirs in a shortage.
+        let usable_share = NEW_CONNECTION_SHARE
+            * (0.5 + 0.5 * self.tenant_shares.revenue_factor(call.request.tenant, self.balancer_count));
+        let (legs, group_share) = (call.legs.borrow(), self.group_share(call));
         let (mut best, mut ties): (Option<(f64, &Rc<Server>)>, f64) = (None, 0.0);
-        let (mut second, mut sick, mut reported) = (None::<(f64, &Rc<Server>)>, 0.0, (0.0, 0.0));
-        // When most look sick, the fault may be on our own side, and they are as good as any.
-        let suspect_own_side = self.sick_share.get() > 0.5;
+        let (mut fallback, mut unhealthy_weight, mut reports) = (None::<(f64, &Rc<Server>)>, 0.0, (0.0, 0.0));
+        // If most servers appear unhealthy, the fault may be on this side, and they are as good as any.
+        let suspect_own_side = self.unhealthy_share.get() > 0.5;
         for server in servers.iter() {
             if server.state.get() != ServerState::Ready {
                 continue;
             }
-            if !call.allows(now, server) {
+            if !call.may_repeat_at(now, server) {
                 skipped.record(Refusal::RepeatForbidden);
                 continue;
             }
-            let (weight, age) = (self.size(server), now - server.started.get());
-            let factor = self.place.factor(server.zone, price);
-            let (share, load) = (weight * per_weight, server.load.get() as f64);
-            // A server just warmed holds little yet, and a crowd would all go there: it has its pace too.
+            let (size, age) = (self.server_size(server), now - server.started.get());
+            let factor = self.locality.factor(server.zone, crossing_share);
+            let (share, load) = (size * load_per_weight, server.load.get() as f64);
+            // A server that has just warmed up has few connections, and a burst of calls would all go there. It stays
+            // under the slow-start budget for a while.
             let filling = age < 3.0 * self.slow_start.warm_after && load < 0.5 * share;
-            let limit = server.limit(now, growth);
-            // A server that holds what it can carry is sent nothing: overdriven ones drop what they hold, and
-            // the crowd that returns keeps them so. A server that nothing is known of is as likely to be
-            // overdriven as those of its location that are known: at full size each balancer else fills
-            // servers that the others have closed. Not so one just started, which nobody has filled (ic788f7).
-            let location = &self.locations[(server.zone as usize).min(self.locations.len() - 1)];
-            let full = now < server.full_until.get();
-            let closed = load + (1.0 - server.rounding) * rate > room * limit || full;
+            let limit = server.limit(now, growth_time);
+            // A server at its limit is sent nothing: an overloaded server drops connections, and the clients that come
+            // back keep it overloaded. A server with unknown load is as likely to be overloaded as the known ones of its
+            // zone; if it always counted in full, each balancer would fill servers that the others have closed. A server
+            // that has just started is not affected, as no balancer has filled it (ic788f7).
+            let zone = &self.zones[(server.zone as usize).min(self.zones.len() - 1)];
+            let queue_full = now < server.full_until.get();
+            let closed =
+                load + (1.0 - server.rounding_offset) * call_load > usable_share * limit || queue_full;
             if load > 0.0 || limit.is_finite() {
-                location.tally(weight, load + (1.0 - server.rounding) * mean > ROOM * limit || full);
+                zone.count(
+                    size,
+                    load + (1.0 - server.rounding_offset) * mean_load > NEW_CONNECTION_SHARE * limit
+                        || queue_full,
+                );
             }
             let unknown = load == 0.0 && limit.is_infinite() && age >= 3.0 * self.slow_start.warm_after;
-            if closed || (unknown && server.rounding < location.closed.get()) {
+            if closed || (unknown && server.rounding_offset < zone.closed_share.get()) {
                 skipped.record(if closed { Refusal::AtLimit } else { Refusal::UnknownLoad });
                 continue;
             }
-            // Crossing costs a mean part at the least, and no less than the server's own: the largest abroad
-            // else seemed free to each of many balancers.
-            let crossing = (1.0 - factor) * share.max(mean_share);
-            // Legs not yet answered weigh more: set-up is work, and a server that answers none is slow.
-            let waiting = WAITING * mean * f64::from(server.waiting.get());
-            let mut left = share.min(limit) - crossing - load - waiting + server.rounding * mean;
-            if self.live || self.probes {
-                let told = if self.live { crowded(server) / crowd } else { 1.0 };
-                // A report tells more than a count, and fades as it ages.
-                let (asked, fresh) = server.report.get().map_or((0.0, 0.0), |(asked, at)| {
-                    reported = (reported.0 + weight * asked, reported.1 + weight);
-                    (asked / self.reported.get().max(LITTLE), (-(now - at) / memory).exp())
-                });
-                left -= CROWDED * mean * (fresh * asked + (1.0 - fresh) * told);
+            // Crossing is charged on a mean server's share at least, and on the server's own if that is larger: the
+            // largest servers of other zones otherwise appeared free to each of many balancers.
+            let crossing_cost = (1.0 - factor) * share.max(mean_share);
+            // Legs without an answer cost more: set-up is work, and a server that answers none is slow.
+            let pending_cost = PENDING_LEG_COST * mean_load * f64::from(server.pending_legs.get());
+            let mut score =
+                share.min(limit) - crossing_cost - load - pending_cost + server.rounding_offset * mean_load;
+            if self.weights_follow_load || self.has_probes {
+                let relative_occupancy =
+                    if self.weights_follow_load { occupancy(server) / mean_occupancy } else { 1.0 };
+                // A load report says more than a weight, and counts less as it ages.
+                let (relative_load, freshness) =
+                    server.load_report.get().map_or((0.0, 0.0), |(reported_load, at)| {
+                        reports = (reports.0 + size * reported_load, reports.1 + size);
+                        (
+                            reported_load / self.mean_reported_load.get().max(MIN_MEAN_OCCUPANCY),
+                            (-(now - at) / memory).exp(),
+                        )
+                    });
+                score -= OCCUPANCY_COST
+                    * mean_load
+                    * (freshness * relative_load + (1.0 - freshness) * relative_occupancy);
             }
-            // The costly terms, only for a server that may yet be the best.
-            if best.as_ref().is_none_or(|(most, _)| left >= *most) {
+            // The remaining terms are expensive, and computed only for a server that may still be the best.
+            if best.as_ref().is_none_or(|(highest, _)| score >= *highest) {
                 let cold = age < self.slow_start.warm_after || filling;
-                if cold && !self.within_budget(now, server, age) {
+                if cold && !self.within_slow_start_budget(now, server, age) {
                     skipped.record(Refusal::SlowStart);
                     continue;
                 }
-                let price = self.group_price(call, server, mean, part * weight * count / ready);
-                // Where much is closed, a group that spread further would bring more load than its calls ask. Not so at
-                // a cold server with budget left: it is known to have room, and few calls find it.
-                let parts = (SPILL * (1.0 - location.closed.get())).max(1.0);
-                if !cold && price > (BASE + parts) * mean {
+                let group_cost = self.server_group_cost(
+                    call,
+                    server,
+                    mean_load,
+                    group_share * size * ready_count / ready_weight,
+                );
+                // Where much is closed, a group that spread further would add more load than its calls need. This does
+                // not hold for a cold server with budget left: it has room, and few calls reach it.
+                let spread = (GROUP_SPREAD * (1.0 - zone.closed_share.get())).max(1.0);
+                if !cold && group_cost > (NEW_GROUP_COST + spread) * mean_load {
                     skipped.record(Refusal::GroupSpread);
                     continue;
                 }
-                left -= price;
+                score -= group_cost;
             }
-            let rested = now - server.health.judged_at.get().max(server.tried_at.get()) > self.longest_guard;
-            if server.health.sick(now, memory, 2) && !rested {
-                sick += weight;
+            let retry_due =
+                now - server.health.last_outcome_at.get().max(server.last_sent_at.get()) > self.longest_guard;
+            if server.health.is_unhealthy(now, memory, 2) && !retry_due {
+                unhealthy_weight += size;
                 skipped.record(Refusal::Unhealthy);
                 if suspect_own_side {
-                    second = second.filter(|(most, _)| left <= *most).or(Some((left, server)));
+                    fallback = fallback.filter(|(highest, _)| score <= *highest).or(Some((score, server)));
                 }
                 continue;
             }
             if legs.iter().any(|l| Rc::ptr_eq(&l.server, server)) {
                 skipped.record(Refusal::Unhealthy);
-                second = second.filter(|(most, _)| left <= *most).or(Some((left, server)));
+                fallback = fallback.filter(|(highest, _)| score <= *highest).or(Some((score, server)));
                 continue;
             }
             match best {
-                Some((most, _)) if left < most => {}
-                Some((most, _)) if left == most => {
+                Some((highest, _)) if score < highest => {}
+                Some((highest, _)) if score == highest => {
                     ties += 1.0;
-                    if self.draw() * ties < 1.0 {
-                        best = Some((left, server));
+                    if self.random() * ties < 1.0 {
+                        best = Some((score, server));
                     }
                 }
-                _ => (best, ties) = (Some((left, server)), 1.0),
+                _ => (best, ties) = (Some((score, server)), 1.0),
             }
         }
-        self.locations.iter().for_each(ZoneAvailability::settle);
-        if reported.1 > 0.0 {
-            self.reported.set(reported.0 / reported.1);
+        self.zones.iter().for_each(ZoneAvailability::finish_pass);
+        if reports.1 > 0.0 {
+            self.mean_reported_load.set(reports.0 / reports.1);
         }
-        self.sick_share.set(sick / ready.max(f64::MIN_POSITIVE));
-        best.or(second).map(|(_, server)| server.clone()).ok_or_else(|| skipped.main_reason())
+        self.unhealthy_share.set(unhealthy_weight / ready_weight.max(f64::MIN_POSITIVE));
+        best.or(fallback).map(|(_, server)| server.clone()).ok_or_else(|| skipped.main_reason())
     }
 
-    /// The part of this balancer's connections that a call's group is; one server's at the least.
-    fn part(&self, call: &Call) -> f64 {
-        let held = call.request.group.and_then(|g| self.groups.borrow().get(&g).copied()).unwrap_or(0);
-        let least = 1.0 / self.servers.borrow().len().max(1) as f64;
-        (f64::from(held) / f64::from(self.held.get().max(1))).max(least)
+    /// The share of this balancer's connections that belong to the call's group, and at least one server's share.
+    fn group_share(&self, call: &Call) -> f64 {
+        let connections =
+            call.request.group.and_then(|g| self.group_connections.borrow().get(&g).copied()).unwrap_or(0);
+        let lowest = 1.0 / self.servers.borrow().len().max(1) as f64;
+        (f64::from(connections) / f64::from(self.connections.get().max(1))).max(lowest)
     }
 
-    /// A server that holds none of a call's group here pays for the group. Each balancer ranks a group's
-    /// servers alike, so that its parts meet on the same few, and on large ones as much oftener as they are larger.
-    fn group_price(&self, call: &Call, server: &Server, mean: f64, part: f64) -> f64 {
+    /// The cost of serving the call's group at a server where this balancer has none of it. All balancers rank the
+    /// servers alike for a group, so that its calls meet on the same few, and on large ones more often by their size.
+    fn server_group_cost(&self, call: &Call, server: &Server, mean_load: f64, group_share: f64) -> f64 {
         match call.request.group {
-            Some(group) if self.group_cost > 0.0 && !server.groups.borrow().contains_key(&group) => {
-                self.group_cost * mean * (BASE + rank(group, server.id) / part)
+            Some(group)
+                if self.group_cost > 0.0 && !server.group_connections.borrow().contains_key(&group) =>
+            {
+                self.group_cost * mean_load * (NEW_GROUP_COST + rank(group, server.id) / group_share)
             }
             _ => 0.0,
         }
     }
 
-    /// Most set-ups fail, whichever server they are at: what all servers share is at fault, not they.
+    /// Whether most set-ups fail at whichever server, so that the fault lies in something the servers share.
     fn shared_fault(&self, now: f64) -> bool {
-        self.shared.sick(now, self.longest_guard, FEW / 2)
+        self.overall_health.is_unhealthy(now, self.longest_guard, HEALTH_OUTCOMES / 2)
     }
 
-    /// Cuts a server's limit, and ends politely as many own connections as go beyond it; their clients come
-    /// again and are placed where there is room. Bounded: once a settling time, a quarter of them at most.
-    fn overdriven(&self, now: f64, server: &Rc<Server>, part: f64) {
-        if now - server.cut_at.get() < SETTLE * self.longest_guard && server.limit.get().is_finite() {
+    /// Handles an overloaded server: cuts its limit to `factor` times its load and relocates the connections beyond it,
+    /// whose clients connect again where there is room. Relocates at most a quarter of them per settling time.
+    fn on_overload(&self, now: f64, server: &Rc<Server>, factor: f64) {
+        if now - server.limit_cut_at.get() < CUT_SETTLE_TIME * self.longest_guard
+            && server.limit.get().is_finite()
+        {
             return;
         }
-        server.cut(now, part, REGROWN * self.longest_guard, self.mean_load() * GRAIN);
+        server.cut_limit(
+            now,
+            factor,
+            LIMIT_GROWTH_TIME * self.longest_guard,
+            self.mean_load() * NANOCORES_PER_CORE,
+        );
         let calls = server.calls.borrow();
-        let mut standing: Vec<Rc<Call>> =
-            calls.values().filter_map(Weak::upgrade).filter(|c| c.stage.get() == Stage::Standing).collect();
-        standing.sort_by(|a, b| a.worth().total_cmp(&b.worth()).then(b.rate.get().total_cmp(&a.rate.get())));
+        let mut established: Vec<Rc<Call>> = calls
+            .values()
+            .filter_map(Weak::upgrade)
+            .filter(|c| c.stage.get() == Stage::Established)
+            .collect();
+        established.sort_by(|a, b| {
+            a.revenue_factor()
+                .total_cmp(&b.revenue_factor())
+                .then(b.load_in_use.get().total_cmp(&a.load_in_use.get()))
+        });
         let mut excess = server.load.get() as f64 - server.limit.get();
-        let (most, mut moved) = (standing.len().div_ceil(4), 0);
-        let late = server.delay.get().0 > LATE * self.shortest_message;
-        for (at, call) in standing.iter().enumerate() {
-            let load = call.rate.get() * call.busy.get() * GRAIN;
-            // Where few connections stand, none fits the excess: then the lightest goes by chance, so that a
-            // server does not stay overdriven because each balancer holds little of what drives it.
-            let last = at + 1 == standing.len() && moved == 0 && self.draw() * load < excess;
-            if moved < most
+        let (max_moves, mut moves) = (established.len().div_ceil(4), 0);
+        let forced = server.message_delay.get().0 > FORCED_RELOCATION_DELAY * self.shortest_message_target;
+        for (index, call) in established.iter().enumerate() {
+            let load = call.load_in_use.get() * call.share_in_use.get() * NANOCORES_PER_CORE;
+            // With few connections, each may be larger than the excess. The lightest is then relocated with a probability
+            // of the excess over its load, so that a server does not stay overloaded because each of many balancers holds
+            // only little of its load.
+            let last_resort = index + 1 == established.len() && moves == 0 && self.random() * load < excess;
+            if moves < max_moves
                 && load > 0.0
-                && (load < 1.5 * excess || last)
-                && (late || self.pick(now, call, 1.0).is_some_and(|s| !Rc::ptr_eq(&s, server)))
+                && (load < 1.5 * excess || last_resort)
+                && (forced || self.find_server(now, call, 1.0).is_some_and(|s| !Rc::ptr_eq(&s, server)))
             {
-                moved += 1;
+                moves += 1;
                 excess -= load;
                 self.host.relocate(call.id);
             }
         }
     }
 
-    fn sum(&self, server: &Server, change: i64) {
+    /// Adds to the load of a server and of this balancer, in nanocores.
+    fn add_load(&self, server: &Server, change: i64) {
         server.load.set(server.load.get() + change);
-        server.carried.set(server.carried.get().max(server.load.get() as f64));
+        server.peak_load.set(server.peak_load.get().max(server.load.get() as f64));
         self.load.set(self.load.get() + change);
     }
 }
 
 impl Leg {
-    fn answered(&mut self) {
-        if std::mem::take(&mut self.waiting) {
-            self.server.waiting.set(self.server.waiting.get() - 1);
+    /// Records that the leg has its answer, or needs none any more.
+    fn mark_answered(&mut self) {
+        if std::mem::take(&mut self.pending) {
+            self.server.pending_legs.set(self.server.pending_legs.get() - 1);
         }
     }
 }
 
 impl Call {
-    /// Rule 2, the servers: where a leg of a referenced call that may have run can be sent again.
-    fn allows(&self, now: f64, server: &Server) -> bool {
-        let traffic = &self.balancer.traffic[self.request.traffic_type];
-        match (traffic.idempotency, self.may_have_run.get()) {
+    /// Rule 2 for servers: whether this call may be sent to `server`, given an earlier leg that may have run.
+    fn may_repeat_at(&self, now: f64, server: &Server) -> bool {
+        let traffic_type = &self.balancer.traffic_types[self.request.traffic_type];
+        match (traffic_type.idempotency, self.may_have_run.get()) {
             (Idempotency::Repeatable, _) | (_, None) => true,
             (Idempotency::OnceOnly, Some(_)) => false,
-            (Idempotency::Referenced(group), Some((zone, cell, sent_at))) => {
-                now - sent_at < 0.9 * traffic.repeat_window
-                    && match group {
+            (Idempotency::Referenced(scope), Some((zone, cell, sent_at))) => {
+                now - sent_at < 0.9 * traffic_type.repeat_window
+                    && match scope {
                         RepeatScope::All => true,
                         RepeatScope::Zone => zone == server.zone,
                         RepeatScope::Cell => cell == server.cell && zone == server.zone,
@@ -577,140 +663,152 @@
         }
     }
 
-    /// Whether a leg whose connection is up may be asked still: what was learned meanwhile counts, as its send does.
+    /// Whether the request of a leg whose connection has come up may still be sent. This checks again what may have
+    /// changed since the leg was started.
     pub fn may_send_now(&self, now: f64, leg: usize) -> bool {
         self.legs.borrow().get(leg).is_some_and(|l| {
-            let here = l.server.state.get() == ServerState::Ready && l.server.started.get() == l.started;
-            here && now < self.until.get() && self.allows(now, &l.server)
+            let same_and_ready =
+                l.server.state.get() == ServerState::Ready && l.server.started.get() == l.server_started;
+            same_and_ready && now < self.deadline.get() && self.may_repeat_at(now, &l.server)
         })
     }
 
-    /// Rule 2, the answer: a reject says that trying again is harmless.
+    /// Rule 2 for answers: whether the call may be rejected, which tells the client that trying again is harmless.
     fn may_reject(&self) -> bool {
-        let idempotency = self.balancer.traffic[self.request.traffic_type].idempotency;
-        let out = self.legs.borrow().iter().any(|l| l.out);
+        let idempotency = self.balancer.traffic_types[self.request.traffic_type].idempotency;
+        let any_active = self.legs.borrow().iter().any(|l| l.active);
         match idempotency {
             Idempotency::Repeatable | Idempotency::Referenced(RepeatScope::All) => true,
-            _ => self.may_have_run.get().is_none() && !out,
+            _ => self.may_have_run.get().is_none() && !any_active,
         }
     }
 
-    fn next_leg_or_give_up(self: &Rc<Self>, now: f64) {
-        if let Err(why) = self.next_leg(now) {
-            self.give_up(now, why);
+    /// Sends a further leg, or refuses the call if there can be none.
+    fn send_leg_or_refuse(self: &Rc<Self>, now: f64) {
+        if let Err(reason) = self.send_next_leg(now) {
+            self.refuse(now, reason);
         }
     }
 
-    /// Sends a further leg, if there is one to send, time for it and a server; else says what there is not.
-    fn next_leg(self: &Rc<Self>, now: f64) -> Result<(), Refusal> {
+    /// Sends a further leg, or first a probe, if the call may have another one and there are time and a server for it.
+    /// Otherwise returns the reason.
+    fn send_next_leg(self: &Rc<Self>, now: f64) -> Result<(), Refusal> {
         let balancer = &self.balancer;
         let sent = self.legs.borrow().len() as u32;
-        let guard = self.until.get() - now;
-        if sent >= balancer.legs.max_legs {
+        let time_left = self.deadline.get() - now;
+        if sent >= balancer.leg_policy.max_legs {
             return Err(Refusal::AttemptsSpent);
         }
-        if guard <= 0.0 {
+        if time_left <= 0.0 {
             return Err(Refusal::TimeOver);
         }
-        // In a shared fault another leg only adds to what makes them fail.
+        // During a shared fault, further legs only add to the load that makes them fail.
         if sent > 0 && balancer.shared_fault(now) {
             return Err(Refusal::SharedFault);
         }
-        let server = balancer.select(now, self, 1.0)?;
-        if sent == 0 && self.probe(now, &server) {
+        let server = balancer.select_server(now, self, 1.0)?;
+        if sent == 0 && self.start_probe(now, &server) {
             return Ok(());
         }
-        let TrafficType { idempotency, setup_target, .. } = balancer.traffic[self.request.traffic_type];
-        let target = self.taken_at + setup_target - now;
-        let last = sent + 1 == balancer.legs.max_legs;
-        // A leg leaves time for a further one before the setup target, or else before the guard time.
+        let TrafficType { idempotency, setup_target, .. } = balancer.traffic_types[self.request.traffic_type];
+        let target_left = self.accepted_at + setup_target - now;
+        let last = sent + 1 == balancer.leg_policy.max_legs;
+        // A leg leaves time for a further one before the setup target, or if that has passed before the deadline.
         let limit = match () {
-            () if last || balancer.shared_fault(now) => guard,
-            () if target > 0.0 => (target / 2.0).max(guard / 8.0).min(guard),
-            () => (guard / 2.0).max(guard.min(target.abs())),
+            () if last || balancer.shared_fault(now) => time_left,
+            () if target_left > 0.0 => (target_left / 2.0).max(time_left / 8.0).min(time_left),
+            () => (time_left / 2.0).max(time_left.min(target_left.abs())),
         };
-        if balancer.legs.two_at_once && idempotency == Idempotency::Repeatable && limit < guard && sent == 0 {
-            // Where two may be out, the first leg goes on when the second starts.
-            balancer.host.send_leg(self.id, server.id, guard);
-            self.wake(now + limit);
+        if balancer.leg_policy.two_at_once
+            && idempotency == Idempotency::Repeatable
+            && limit < time_left
+            && sent == 0
+        {
+            // Where two legs may be active, the first continues when the second starts.
+            balancer.host.send_leg(self.id, server.id, time_left);
+            self.set_timer(now + limit);
         } else {
             balancer.host.send_leg(self.id, server.id, limit);
         }
-        balancer.count_sent(now, &server, self.rate.get());
-        self.place(now, server);
+        balancer.record_sent(now, &server, self.load_in_use.get());
+        self.add_leg(now, server);
         Ok(())
     }
 
-    /// Waits for what the server tells of its load, once a call, where that is not known and there is time.
-    fn probe(self: &Rc<Self>, now: f64, server: &Rc<Server>) -> bool {
+    /// Requests the server's load, once per call, if it is not known and there is time. Returns whether the call waits.
+    fn start_probe(self: &Rc<Self>, now: f64, server: &Rc<Server>) -> bool {
         let balancer = &self.balancer;
-        let known = server.report.get().is_some_and(|(_, at)| now - at < KNOWN * balancer.longest_guard);
-        let wait = HEARD * balancer.traffic[self.request.traffic_type].setup_target;
-        let time = self.until.get() - now > 2.0 * wait;
-        if !balancer.probes || known || !time || self.probe.get().is_some() {
+        let known = server
+            .load_report
+            .get()
+            .is_some_and(|(_, at)| now - at < REPORT_FRESH_TIME * balancer.longest_guard);
+        let wait = PROBE_WAIT * balancer.traffic_types[self.request.traffic_type].setup_target;
+        let has_time = self.deadline.get() - now > 2.0 * wait;
+        if !balancer.has_probes || known || !has_time || self.awaits_probe.get().is_some() {
             return false;
         }
-        // One probe serves all that wait for it. Whoever it was not answered in time no longer does.
-        let mut probing = server.probing.borrow_mut();
-        probing.retain(|c| c.upgrade().is_some_and(|c| c.probe.get() == Some(true)));
-        if probing.is_empty() && !balancer.host.probe(server.id) {
+        // One probe serves all calls that wait for it. Calls whose wait has timed out are removed.
+        let mut waiters = server.probe_waiters.borrow_mut();
+        waiters.retain(|c| c.upgrade().is_some_and(|c| c.awaits_probe.get() == Some(true)));
+        if waiters.is_empty() && !balancer.host.probe(server.id) {
             return false;
         }
-        probing.push(Rc::downgrade(self));
-        self.probe.set(Some(true));
-        self.wake(now + wait);
+        waiters.push(Rc::downgrade(self));
+        self.awaits_probe.set(Some(true));
+        self.set_timer(now + wait);
         true
     }
 
-    fn wake(&self, at: f64) {
-        self.due.set(at);
+    fn set_timer(&self, at: f64) {
+        self.timer_due_at.set(at);
         self.balancer.host.set_call_timer(self.id, at);
     }
 
-    /// The probe is over, answered or not; what comes of it later counts for other calls only.
-    fn go_on(self: &Rc<Self>, now: f64) {
-        if self.probe.replace(Some(false)) == Some(true) && self.stage.get() == Stage::Waiting {
-            self.due.set(f64::INFINITY);
-            self.next_leg_or_give_up(now);
+    /// Continues after a probe, answered or not. A later answer serves other calls only.
+    fn finish_probe(self: &Rc<Self>, now: f64) {
+        if self.awaits_probe.replace(Some(false)) == Some(true) && self.stage.get() == Stage::Pending {
+            self.timer_due_at.set(f64::INFINITY);
+            self.send_leg_or_refuse(now);
         }
     }
 
-    fn place(self: &Rc<Self>, now: f64, server: Rc<Server>) {
-        let load = (self.rate.get() * self.busy.get() * GRAIN) as i64;
-        self.balancer.sum(&server, load);
-        self.balancer.held.set(self.balancer.held.get() + 1);
-        self.balancer.shares.count(self.request.tenant, 1);
-        server.held.set(server.held.get() + 1);
+    /// Adds a leg at `server` to all counts.
+    fn add_leg(self: &Rc<Self>, now: f64, server: Rc<Server>) {
+        let load = (self.load_in_use.get() * self.share_in_use.get() * NANOCORES_PER_CORE) as i64;
+        self.balancer.add_load(&server, load);
+        self.balancer.connections.set(self.balancer.connections.get() + 1);
+        self.balancer.tenant_shares.add_connections(self.request.tenant, 1);
+        server.connections.set(server.connections.get() + 1);
         if let Some(group) = self.request.group {
-            *server.groups.borrow_mut().entry(group).or_insert(0) += 1;
-            *self.balancer.groups.borrow_mut().entry(group).or_insert(0) += 1;
+            *server.group_connections.borrow_mut().entry(group).or_insert(0) += 1;
+            *self.balancer.group_connections.borrow_mut().entry(group).or_insert(0) += 1;
         }
-        let place = self.balancer.placed.get();
-        self.balancer.placed.set(place + 1);
-        server.calls.borrow_mut().insert(place, Rc::downgrade(self));
-        server.waiting.set(server.waiting.get() + 1);
-        self.legs.borrow_mut().push(Leg::out(now, place, server, load));
+        let key = self.balancer.next_leg_key.get();
+        self.balancer.next_leg_key.set(key + 1);
+        server.calls.borrow_mut().insert(key, Rc::downgrade(self));
+        server.pending_legs.set(server.pending_legs.get() + 1);
+        self.legs.borrow_mut().push(Leg::sent(now, key, server, load));
     }
 
-    /// An ended leg leaves the sums at once.
-    fn unplace(&self, leg: usize) -> Option<Rc<Server>> {
+    /// Removes an ended leg from all counts. Returns its server, or `None` if the leg had ended before.
+    fn remove_leg(&self, leg: usize) -> Option<Rc<Server>> {
         let mut legs = self.legs.borrow_mut();
-        let leg = legs.get_mut(leg).filter(|l| l.out)?;
-        leg.out = false;
+        let leg = legs.get_mut(leg).filter(|l| l.active)?;
+        leg.active = false;
         let server = leg.server.clone();
-        self.balancer.sum(&server, -leg.load);
-        server.calls.borrow_mut().remove(&leg.place);
-        leg.answered();
-        self.balancer.held.set(self.balancer.held.get() - 1);
-        self.balancer.shares.count(self.request.tenant, -1);
-        server.held.set(server.held.get() - 1);
+        self.balancer.add_load(&server, -leg.load);
+        server.calls.borrow_mut().remove(&leg.key);
+        leg.mark_answered();
+        self.balancer.connections.set(self.balancer.connections.get() - 1);
+        self.balancer.tenant_shares.add_connections(self.request.tenant, -1);
+        server.connections.set(server.connections.get() - 1);
         if let Some(group) = self.request.group {
-            for groups in [&server.groups, &self.balancer.groups] {
-                let mut groups = groups.borrow_mut();
-                if let Some(count) = groups.get_mut(&group) {
+            for group_connections in [&server.group_connections, &self.balancer.group_connections] {
+                let mut group_connections = group_connections.borrow_mut();
+                if let Some(count) = group_connections.get_mut(&group) {
                     *count -= 1;
                     if *count == 0 {
-                        groups.remove(&group);
+                        group_connections.remove(&group);
                     }
                 }
             }
@@ -718,141 +816,154 @@
         Some(server)
     }
 
-    fn give_up(&self, now: f64, why: Refusal) {
-        if self.stage.replace(Stage::Answered) == Stage::Answered {
+    /// Gives the final answer to a call that can't be served, unless it is finished already.
+    fn refuse(&self, now: f64, reason: Refusal) {
+        if self.stage.replace(Stage::Finished) == Stage::Finished {
             return;
         }
-        self.balancer.refused_at.set(now);
-        self.balancer.host.note_refusal(self.id, why);
+        self.balancer.last_refusal_at.set(now);
+        self.balancer.host.note_refusal(self.id, reason);
         if self.may_reject() {
-            self.balancer.host.reject(self.id, self.balancer.legs.max_retry_after);
+            self.balancer.host.reject(self.id, self.balancer.leg_policy.max_retry_after);
         } else {
             self.balancer.host.release(self.id);
         }
     }
 
-    /// Nothing more will be heard of this call, and the handle can go.
+    /// Whether no further events can come for this call, so that its handle can be dropped.
     pub fn is_finished(&self) -> bool {
-        self.stage.get() == Stage::Answered && !self.legs.borrow().iter().any(|l| l.out)
+        self.stage.get() == Stage::Finished && !self.legs.borrow().iter().any(|l| l.active)
     }
 
-    /// The connection stands; a second leg still out is called off.
+    /// Handles the establishment of the connection on `leg`. Another leg that is still active is cancelled.
     pub fn on_established(&self, now: f64, leg: usize) {
-        if self.stage.get() == Stage::Waiting {
-            self.stage.set(Stage::Standing);
-            self.bound.set(leg);
-        }
-        for (at, one) in self.legs.borrow_mut().iter_mut().enumerate() {
-            if at == leg {
-                one.answered();
-                one.server.health.judge(now, true);
-                self.balancer.shared.judge(now, true);
-            } else if one.out && self.balancer.legs.may_cancel {
-                self.balancer.host.cancel_leg(self.id, at as u32);
+        if self.stage.get() == Stage::Pending {
+            self.stage.set(Stage::Established);
+            self.established_leg.set(leg);
+        }
+        for (index, one) in self.legs.borrow_mut().iter_mut().enumerate() {
+            if index == leg {
+                one.mark_answered();
+                one.server.health.record(now, true);
+                self.balancer.overall_health.record(now, true);
+            } else if one.active && self.balancer.leg_policy.may_cancel {
+                self.balancer.host.cancel_leg(self.id, index as u32);
             }
         }
     }
 
-    /// The connection's present load, smoothed as in Eq. 2; p_j likewise.
+    /// Handles a report of the connection's present load, in cores. r_j and p_j are smoothed as in Eq. 2.
     pub fn on_load(&self, now: f64, leg: usize, load: f64) {
-        let fade = (-(now - self.read_at.replace(now)).max(0.0) / K).exp();
-        let busy = if load > 0.0 { 1.0 } else { 0.0 };
-        self.rate.set((1.0 - fade) * load + fade * self.rate.get());
-        self.busy.set((1.0 - fade) * busy + fade * self.busy.get());
+        let decay = (-(now - self.load_updated_at.replace(now)).max(0.0) / SMOOTHING_TIME).exp();
+        let in_use = if load > 0.0 { 1.0 } else { 0.0 };
+        self.load_in_use.set((1.0 - decay) * load + decay * self.load_in_use.get());
+        self.share_in_use.set((1.0 - decay) * in_use + decay * self.share_in_use.get());
         let mut legs = self.legs.borrow_mut();
-        if let Some(leg) = legs.get_mut(leg).filter(|l| l.out) {
-            let load = (self.rate.get() * self.busy.get() * GRAIN) as i64;
-            self.balancer.sum(&leg.server, load - leg.load);
+        if let Some(leg) = legs.get_mut(leg).filter(|l| l.active) {
+            let load = (self.load_in_use.get() * self.share_in_use.get() * NANOCORES_PER_CORE) as i64;
+            self.balancer.add_load(&leg.server, load - leg.load);
             leg.load = load;
         }
     }
 
-    fn worth(&self) -> f64 {
-        self.balancer.shares.worth(self.request.tenant, self.balancer.siblings)
+    fn revenue_factor(&self) -> f64 {
+        self.balancer.tenant_shares.revenue_factor(self.request.tenant, self.balancer.balancer_count)
     }
 
-    /// How long a message takes at this call's server now.
+    /// Handles a report of how long a message takes at the server of `leg`, in seconds.
     pub fn on_message_delay(&self, now: f64, leg: usize, delay: f64) {
         let Some(server) = self.legs.borrow().get(leg).map(|l| l.server.clone()) else { return };
         let balancer = &self.balancer;
-        // What a message takes is work piled up: it grows by what is asked beyond what the server can do.
-        // Told for the first time, it was under the telling a second ago.
-        let (before, at) = server.delay.replace((delay, now));
+        // The delay of messages is a server's backlog, which grows by the load beyond its capacity. Before a first report
+        // the delay was below what is reported, and counts as zero a second earlier.
+        let (previous, at) = server.message_delay.replace((delay, now));
         let slope = match now - at {
-            gap if gap > 0.0 && gap < 2.5 => (delay - before) / gap,
+            elapsed if elapsed > 0.0 && elapsed < 2.5 => (delay - previous) / elapsed,
             _ => delay,
         };
-        if delay / balancer.shortest_message > SLOW {
-            let drain = 1.0 - delay / (DRAIN * balancer.longest_guard);
-            balancer.overdriven(now, &server, (drain / (1.0 + slope).max(0.1)).clamp(LEAST, 1.0));
+        if delay / balancer.shortest_message_target > OVERLOAD_DELAY {
+            let spare_share = 1.0 - delay / (BACKLOG_DRAIN_TIME * balancer.longest_guard);
+            balancer.on_overload(
+                now,
+                &server,
+                (spare_share / (1.0 + slope).max(0.1)).clamp(MIN_CUT_FACTOR, 1.0),
+            );
         }
     }
 
-    pub fn on_leg_ended(self: &Rc<Self>, now: f64, leg: usize, ending: LegOutcome, last: bool) {
-        let Some(server) = self.unplace(leg) else { return };
+    /// Handles the end of a leg. `is_last` says that the call has ended with it.
+    pub fn on_leg_ended(self: &Rc<Self>, now: f64, leg: usize, outcome: LegOutcome, is_last: bool) {
+        let Some(server) = self.remove_leg(leg) else { return };
         let balancer = &self.balancer;
-        match ending {
-            LegOutcome::Broken if self.stage.get() == Stage::Standing && self.bound.get() == leg => {
-                // Connections that break here and there are the network's doing: what a server sheds, or
-                // loses with its process, breaks together. A cut for each turned away what the servers had
-                // room for. Of a few held, one is as many as may ever be seen to break.
-                let (since, count) = server.dropped.get();
-                let together = now - since < SETTLE * balancer.longest_guard;
+        match outcome {
+            LegOutcome::Broken
+                if self.stage.get() == Stage::Established && self.established_leg.get() == leg =>
+            {
+                // Scattered breaks come from the network; connections that a server drops, or loses with its process,
+                // break together. A cut for each break refused calls that the servers had room for. With only a few
+                // connections, a single break counts, as no second one may follow.
+                let (since, count) = server.recent_breaks.get();
+                let together = now - since < CUT_SETTLE_TIME * balancer.longest_guard;
                 let (since, count) = if together { (since, count + 1) } else { (now, 1) };
-                server.dropped.set((since, count));
-                if count > (server.held.get() + APART - 4) / APART {
-                    // What a server drops it has not carried.
-                    let dropped = self.rate.get() * self.busy.get() * GRAIN;
-                    server.carried.set((server.carried.get() - dropped).max(server.load.get() as f64));
-                    server.health.judge(now, false);
-                    balancer.overdriven(now, &server, 0.97);
+                server.recent_breaks.set((since, count));
+                if count > (server.connections.get() + CONNECTIONS_PER_BREAK - 4) / CONNECTIONS_PER_BREAK {
+                    // The server has not carried the load of a connection that it dropped.
+                    let dropped_load = self.load_in_use.get() * self.share_in_use.get() * NANOCORES_PER_CORE;
+                    server
+                        .peak_load
+                        .set((server.peak_load.get() - dropped_load).max(server.load.get() as f64));
+                    server.health.record(now, false);
+                    balancer.on_overload(now, &server, 0.97);
                 }
             }
             LegOutcome::Error | LegOutcome::TimedOut | LegOutcome::Unreachable | LegOutcome::Broken => {
-                let shared =
-                    matches!(ending, LegOutcome::Error | LegOutcome::TimedOut).then_some(&balancer.shared);
-                shared.into_iter().chain([&server.health]).for_each(|health| health.judge(now, false));
+                let overall_health = matches!(outcome, LegOutcome::Error | LegOutcome::TimedOut)
+                    .then_some(&balancer.overall_health);
+                overall_health
+                    .into_iter()
+                    .chain([&server.health])
+                    .for_each(|health| health.record(now, false));
             }
-            // Full is capacity, not sickness.
+            // A full queue shows a lack of capacity, not a fault.
             LegOutcome::Full => {
-                // Incident iadd0bb: a full queue answers at once, and the next calls all went there too.
-                server.full_until.set(now + balancer.longest_guard * balancer.draw());
-                balancer.overdriven(now, &server, 0.97);
+                // Incident iadd0bb: a server with a full queue answers at once, and the next calls were all sent there.
+                server.full_until.set(now + balancer.longest_guard * balancer.random());
+                balancer.on_overload(now, &server, 0.97);
             }
             LegOutcome::Served | LegOutcome::Cancelled | LegOutcome::NotSent => {}
         }
-        if ending.may_have_run() && self.may_have_run.get().is_none() {
+        if outcome.may_have_run() && self.may_have_run.get().is_none() {
             let sent_at = self.legs.borrow()[leg].sent_at;
             self.may_have_run.set(Some((server.zone, server.cell, sent_at)));
         }
-        if last || (self.stage.get() == Stage::Standing && self.bound.get() == leg) {
-            self.stage.set(Stage::Answered);
-        } else if self.stage.get() == Stage::Waiting && !self.legs.borrow().iter().any(|l| l.out) {
-            // Held back, a call that no leg can serve would only keep its client from trying elsewhere.
-            self.next_leg_or_give_up(now);
+        if is_last || (self.stage.get() == Stage::Established && self.established_leg.get() == leg) {
+            self.stage.set(Stage::Finished);
+        } else if self.stage.get() == Stage::Pending && !self.legs.borrow().iter().any(|l| l.active) {
+            // If no leg can serve the call, it is refused at once, so that its client can try elsewhere.
+            self.send_leg_or_refuse(now);
         }
     }
 
-    /// The client left before an answer, or was cut off; none is owed.
+    /// Handles a client that has left before an answer, or that the host has cut off. It is owed no answer.
     pub fn on_client_left(&self) {
-        self.stage.set(Stage::Answered);
+        self.stage.set(Stage::Finished);
     }
 
-    /// A probe is not waited for any longer; where two legs may be out at once, the second starts when the first takes
-    /// long.
+    /// Handles the call's timer: ends the wait for a probe, or starts a second leg, where two may be active, if the first
+    /// takes long.
     pub fn on_timer(self: &Rc<Self>, now: f64) {
-        // The timer of a probe that was answered in time was taken for the second leg's.
-        if now + EARLY < self.due.get() {
+        // The timer of a probe that has been answered must not start a second leg.
+        if now + TIMER_TOLERANCE < self.timer_due_at.get() {
             return;
         }
-        if self.probe.get() == Some(true) {
-            return self.go_on(now);
+        if self.awaits_probe.get() == Some(true) {
+            return self.finish_probe(now);
         }
-        let one_out = self.legs.borrow().iter().filter(|l| l.out).count() == 1;
-        let more = (self.legs.borrow().len() as u32) < self.balancer.legs.max_legs;
-        if self.stage.get() == Stage::Waiting && one_out && more {
-            // A first leg is out still, and goes on where there is no second.
-            let _ = self.next_leg(now);
+        let one_active = self.legs.borrow().iter().filter(|l| l.active).count() == 1;
+        let may_send_more = (self.legs.borrow().len() as u32) < self.balancer.leg_policy.max_legs;
+        if self.stage.get() == Stage::Pending && one_active && may_send_more {
+            // If no second leg can be sent, the first one continues.
+            let _ = self.send_next_leg(now);
         }
     }
 }
--- a/crates/dewhead/src/snapshot.rs
+++ b/crates/dewhead/src/snapshot.rs
@@ -1,83 +1,91 @@
-//! What a balancer has learned of servers, as it can be handed to another that takes its place, with its age. Knowledge
-//! fades by the rules that hold for it where it was learned; what is too old for any use is left out.
+//! What a balancer knows of its servers, in a form that can be handed to a successor. Every item carries its age, and
+//! expires at the successor by the same rules as here; what is too old to be used is left out.
 
 use crate::state::{Balancer, Server};
 use std::rc::Rc;
 
-/// What was learned of one server. Ages are seconds before it was told.
+/// What is known of one server. Ages are seconds before the snapshot was taken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSnapshot {
+    /// The server's id.
     pub server: u64,
-    /// The process that it was learned of; another one is unknown.
+    /// The start of the process that this is known of; a process with another start time is unknown.
     pub started: Option<f64>,
-    /// The limit as it was cut, in standard cores, and how long ago.
+    /// The limit as it was cut, in standard cores, and its age.
     pub limit: Option<(f64, f64)>,
-    /// The most load that it carried since, in standard cores.
+    /// The highest load since the cut, in standard cores.
     pub peak_load: f64,
-    /// The last few outcomes, newest lowest, 1 a success; how many; how long ago the last was.
+    /// The latest outcomes: a bit each, the newest lowest, 1 a success.
     pub outcomes: u32,
+    /// The number of outcomes in `outcomes`.
     pub outcome_count: u32,
+    /// The age of the latest outcome.
     pub last_outcome_age: f64,
 }
 
-const GRAIN: f64 = 1e9;
-/// A limit cut this many memories ago has grown back past any use.
-const USE: f64 = 4.0;
+const NANOCORES_PER_CORE: f64 = 1e9;
+/// The age from which a cut limit has grown too high to matter, in multiples of the time for which an outcome counts.
+const MAX_LIMIT_AGE: f64 = 4.0;
 
-fn sound(x: f64) -> bool {
+fn is_valid(x: f64) -> bool {
     x.is_finite() && x >= 0.0
 }
 
 impl Balancer {
-    /// All that is worth telling, by server.
+    /// Everything of use to a successor, by server.
     pub fn snapshot(&self, now: f64) -> Vec<ServerSnapshot> {
-        let one = |server: &Rc<Server>| {
-            let age = now - server.cut_at.get();
-            let limit = Some(server.limit.get()).filter(|l| l.is_finite()).map(|l| (l / GRAIN, age));
+        let snapshot_of = |server: &Rc<Server>| {
+            let limit_age = now - server.limit_cut_at.get();
+            let limit = Some(server.limit.get())
+                .filter(|l| l.is_finite())
+                .map(|l| (l / NANOCORES_PER_CORE, limit_age));
             let snapshot = ServerSnapshot {
                 server: server.id,
                 started: Some(server.started.get()).filter(|s| s.is_finite()),
                 limit,
-                peak_load: server.carried.get() / GRAIN,
+                peak_load: server.peak_load.get() / NANOCORES_PER_CORE,
                 outcomes: server.health.outcomes.get(),
-                outcome_count: server.health.counted.get(),
-                last_outcome_age: now - server.health.judged_at.get(),
+                outcome_count: server.health.outcome_count.get(),
+                last_outcome_age: now - server.health.last_outcome_at.get(),
             };
             (limit.is_some() || snapshot.outcome_count > 0 || snapshot.peak_load > 0.0).then_some(snapshot)
         };
-        self.servers.borrow().iter().filter_map(one).collect()
+        self.servers.borrow().iter().filter_map(snapshot_of).collect()
     }
 
-    /// Takes up what another has learned, told `ago` seconds ago. Servers that are not listed, or have started anew,
-    /// and figures that make no sense are passed over. Returns of how many servers something was taken up.
-    pub fn restore(&self, now: f64, ago: f64, snapshot: &[ServerSnapshot]) -> usize {
+    /// Restores a snapshot that another balancer took `age` seconds ago, and returns the number of servers for which
+    /// something was restored. Servers that are not listed or have restarted since, and invalid figures, are skipped.
+    pub fn restore(&self, now: f64, age: f64, snapshots: &[ServerSnapshot]) -> usize {
         let servers = self.servers.borrow();
         let memory = 4.0 * self.longest_guard;
-        let mut taken = 0;
-        for told in snapshot {
-            let Ok(at) = servers.binary_search_by_key(&told.server, |s| s.id) else { continue };
-            let server = &servers[at];
+        let mut restored_count = 0;
+        for snapshot in snapshots {
+            let Ok(index) = servers.binary_search_by_key(&snapshot.server, |s| s.id) else { continue };
+            let server = &servers[index];
             let started = Some(server.started.get()).filter(|s| s.is_finite());
-            let figures =
-                [ago, told.peak_load, told.last_outcome_age].into_iter().chain(told.limit.map(|l| l.0));
-            if started != told.started || !figures.chain(told.limit.map(|l| l.1)).all(sound) {
+            let figures = [age, snapshot.peak_load, snapshot.last_outcome_age]
+                .into_iter()
+                .chain(snapshot.limit.map(|l| l.0));
+            if started != snapshot.started || !figures.chain(snapshot.limit.map(|l| l.1)).all(is_valid) {
                 continue;
             }
-            let mut some = false;
-            if let Some((limit, age)) = told.limit.filter(|(_, age)| age + ago < USE * memory) {
-                server.limit.set(limit * GRAIN);
-                server.cut_at.set(now - age - ago);
-                server.carried.set(told.peak_load * GRAIN);
-                some = true;
+            let mut restored = false;
+            if let Some((limit, limit_age)) =
+                snapshot.limit.filter(|(_, limit_age)| limit_age + age < MAX_LIMIT_AGE * memory)
+            {
+                server.limit.set(limit * NANOCORES_PER_CORE);
+                server.limit_cut_at.set(now - limit_age - age);
+                server.peak_load.set(snapshot.peak_load * NANOCORES_PER_CORE);
+                restored = true;
             }
-            if told.outcome_count > 0 && told.last_outcome_age + ago < memory {
-                server.health.outcomes.set(told.outcomes & 0xff);
-                server.health.counted.set(told.outcome_count.min(8));
-                server.health.judged_at.set(now - told.last_outcome_age - ago);
-                some = true;
+            if snapshot.outcome_count > 0 && snapshot.last_outcome_age + age < memory {
+                server.health.outcomes.set(snapshot.outcomes & 0xff);
+                server.health.outcome_count.set(snapshot.outcome_count.min(8));
+                server.health.last_outcome_at.set(now - snapshot.last_outcome_age - age);
+                restored = true;
             }
-            taken += usize::from(some);
+            restored_count += usize::from(restored);
         }
-        taken
+        restored_count
     }
 }
--- a/crates/dewhead/src/state.rs
+++ b/crates/dewhead/src/state.rs
@@ -1,4 +1,5 @@
-//! What a balancer keeps: its parts, its servers, its calls and itself. No decision is made here; they are in `rules`.
+//! The data that a balancer keeps: its settings, its servers, its calls and the balancer itself. The decisions over this
+//! data are in `rules` and `slow_start`.
 
 use crate::host_interface::BalancerHost;
 use crate::types::{CallRequest, ServerEntry, ServerState, Tenant, TrafficType};
@@ -7,267 +8,310 @@
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
-/// Following the list of servers where it must be asked for.
+/// The subscription to the list of servers.
 pub struct ListSubscription {
+    /// Whether the list is sent only to balancers that have subscribed.
     pub required: bool,
-    /// Without a subscription, the list counts as told after this long.
+    /// Seconds after which a change of the list counts as known to the balancer even if it is not subscribed.
     pub subscribe_within: f64,
+    /// Failed requests for the list since the last successful one.
     pub failures: Cell<u32>,
 }
 
-/// The price of crossing zones, as a term of Eq. 1.
+/// The balancer's own zone and the cost of crossing zones, as a term of Eq. 1.
 pub struct Locality {
-    pub(crate) home: u32,
-    /// What crossing costs, in parts that a mean server holds of all own load.
-    pub(crate) parts: f64,
-    /// What is left of a server's R_i when it stands in another zone; under 0 where home could hold more than all.
-    pub(crate) abroad: Cell<f64>,
-    /// Whether ending a connection abroad costs little against keeping it there.
-    pub(crate) homecoming: bool,
+    pub(crate) home_zone: u32,
+    /// The cost of crossing, in multiples of a mean server's share of this balancer's whole load.
+    pub(crate) crossing_cost: f64,
+    /// The factor on R_i for servers in other zones; negative where the home zone could hold more than the whole load.
+    pub(crate) remote_factor: Cell<f64>,
+    /// Whether relocating a connection from another zone costs little compared with keeping it there.
+    pub(crate) relocates_home: bool,
 }
 
-/// What is known of the servers of one location, by weight.
+/// How much of one zone's known capacity is closed to new connections, by weight.
 #[derive(Default)]
 pub struct ZoneAvailability {
-    /// Known so far in this pass: all of them, and those closed.
-    pub(crate) known: Cell<(f64, f64)>,
-    /// The closed part at the last pick.
-    pub(crate) closed: Cell<f64>,
+    /// In the current pass over the servers: the weight of those with known load, and of those among them that are
+    /// closed.
+    pub(crate) counted: Cell<(f64, f64)>,
+    /// The closed share at the last selection, 0 to 1.
+    pub(crate) closed_share: Cell<f64>,
 }
 
-/// The last few outcomes at one server, or of all set-ups: newest lowest, 1 a success; emptied by age.
+/// The last few outcomes, at one server or of all set-ups: a bit each, the newest lowest, 1 a success. They expire.
 pub(crate) struct Health {
     pub(crate) outcomes: Cell<u32>,
-    pub(crate) counted: Cell<u32>,
-    pub(crate) judged_at: Cell<f64>,
+    pub(crate) outcome_count: Cell<u32>,
+    pub(crate) last_outcome_at: Cell<f64>,
 }
 
 impl Health {
     fn new(now: f64) -> Health {
-        Health { outcomes: Cell::new(0), counted: Cell::new(0), judged_at: Cell::new(now) }
+        Health { outcomes: Cell::new(0), outcome_count: Cell::new(0), last_outcome_at: Cell::new(now) }
     }
 }
 
-/// Fairness by shop share: what a shop holds beyond its share gives way first.
+/// Fairness between tenants: connections beyond a tenant's quota are the first to be refused or relocated.
 pub struct TenantShares {
-    pub(crate) shops: Vec<Tenant>,
-    /// What all shops may have standing, in connections of the whole fleet.
-    pub(crate) standing: f64,
-    /// What traffic beyond a share is worth, against 1 within it.
-    pub(crate) beyond: f64,
-    /// Own connections of each shop.
-    pub(crate) held: Vec<Cell<u32>>,
+    pub(crate) tenants: Vec<Tenant>,
+    /// The sum of all tenants' quotas, in connections of the whole fleet.
+    pub(crate) total_quota: f64,
+    /// The revenue of a call beyond its tenant's quota, relative to 1 within it.
+    pub(crate) overage_revenue: f64,
+    /// This balancer's connections of each tenant.
+    pub(crate) connections: Vec<Cell<u32>>,
 }
 
-/// Rule 4: how much a server that has just started is sent.
+/// Rule 4: the limit on what a server that has just started is sent.
 pub struct SlowStart {
+    /// The share of its full capacity that a server has when it starts, 0 to 1.
     pub cold_share: f64,
+    /// Seconds after its start at which a server has its full capacity.
     pub warm_after: f64,
+    /// A server fails if it is sent more than this multiple of its present capacity during `window`.
     pub overload_multiple: f64,
+    /// The length of the window over which rule 4 counts, in seconds.
     pub window: f64,
 }
 
-/// How many legs a call may have and how they share its time.
+/// How many legs a call may have and how they divide its time.
 pub struct LegPolicy {
+    /// The most legs of a call, over its whole life.
     pub max_legs: u32,
+    /// Whether two legs of a repeatable call may be active at the same time.
     pub two_at_once: bool,
+    /// Whether a leg can be cancelled.
     pub may_cancel: bool,
-    /// The longest a client can be asked to stay away; none where it can't be asked.
+    /// The longest that a rejected client can be asked to wait, in seconds; `None` if it can't be asked.
     pub max_retry_after: Option<f64>,
 }
 
-/// One server, as this balancer knows it. What every pick reads comes first, so that a pass over a large fleet
-/// touches few lines of the processor's cache.
+/// One server, as this balancer knows it. The fields that every selection reads come first, so that a pass over a large
+/// fleet touches few cache lines.
 #[repr(C)]
 pub(crate) struct Server {
     pub(crate) state: Cell<ServerState>,
     pub(crate) zone: u32,
     pub(crate) weight: Cell<f64>,
     pub(crate) started: Cell<f64>,
-    /// Sum of r·p over own standing connections and legs out, in grains.
+    /// The sum of r_j · p_j over this balancer's connections and active legs here, in nanocores.
     pub(crate) load: Cell<i64>,
-    /// The most own load this server has shown it carries, in grains; it cuts R_i and closes the server to more.
+    /// The most load of this balancer that the server has shown it can carry, in nanocores. It caps R_i and closes the
+    /// server to further connections.
     pub(crate) limit: Cell<f64>,
-    pub(crate) cut_at: Cell<f64>,
-    /// Since when, and how many of our standing connections it dropped one soon after the other.
-    pub(crate) dropped: Cell<(f64, u32)>,
-    /// Where this balancer's part of the server is rounded up, from 0 to 1; the others' lie evenly between.
-    pub(crate) rounding: f64,
-    /// Until when it is left alone as its queue was full.
+    pub(crate) limit_cut_at: Cell<f64>,
+    /// The time of the first, and the number, of this balancer's connections that broke here in short succession.
+    pub(crate) recent_breaks: Cell<(f64, u32)>,
+    /// The point from 0 to 1 at which this balancer rounds its part of the server up to a whole connection; those of the
+    /// other balancers are spread evenly.
+    pub(crate) rounding_offset: f64,
+    /// Until when no call is sent here, because the server's queue was full.
     pub(crate) full_until: Cell<f64>,
-    pub(crate) held: Cell<u32>,
-    /// Own legs here that have had no answer yet.
-    pub(crate) waiting: Cell<u32>,
+    /// This balancer's connections and active legs here.
+    pub(crate) connections: Cell<u32>,
+    /// Active legs here that have had no answer yet.
+    pub(crate) pending_legs: Cell<u32>,
     pub(crate) health: Health,
-    pub(crate) tried_at: Cell<f64>,
-    /// Budget of a cold server, in connections.
+    pub(crate) last_sent_at: Cell<f64>,
+    /// Rule 4's budget while the server is cold, in connections.
     pub(crate) budget: Cell<f64>,
-    pub(crate) budget_at: Cell<f64>,
-    /// The turn in which this balancer last sent it anything while it was cold.
-    pub(crate) turn: Cell<f64>,
-    /// The last report: load asked over what it can do, and when.
-    pub(crate) report: Cell<Option<(f64, f64)>>,
-    /// Group -> own connections of it here; an entry goes with its last connection.
-    pub(crate) groups: RefCell<BTreeMap<u64, u32>>,
+    pub(crate) budget_updated_at: Cell<f64>,
+    /// The turn of rule 4 in which this balancer last sent something here while the server was cold.
+    pub(crate) last_turn: Cell<f64>,
+    /// The last load report: the offered load over the server's capacity, and when it arrived.
+    pub(crate) load_report: Cell<Option<(f64, f64)>>,
+    /// This balancer's connections here by group; an entry is removed with the group's last connection.
+    pub(crate) group_connections: RefCell<BTreeMap<u64, u32>>,
     pub(crate) id: u64,
     pub(crate) cell: u64,
-    /// The most own load since the last cut, less what the server dropped.
-    pub(crate) carried: Cell<f64>,
-    /// How long a message took there when last told, and when that was.
-    pub(crate) delay: Cell<(f64, f64)>,
-    /// Calls that wait for a probe's answer; each goes with that, or with the next call that waits once it no longer does.
-    pub(crate) probing: RefCell<Vec<Weak<Call>>>,
-    /// Own calls here, by the order they were placed in; an entry goes with its leg.
+    /// The highest `load` since the last cut of the limit, less the load of connections that the server dropped.
+    pub(crate) peak_load: Cell<f64>,
+    /// How long a message took here by the last report, and when that arrived.
+    pub(crate) message_delay: Cell<(f64, f64)>,
+    /// Calls that wait for the answer to a probe. Calls that no longer wait are removed when another one is added.
+    pub(crate) probe_waiters: RefCell<Vec<Weak<Call>>>,
+    /// Calls with a leg here, in the order in which the legs were sent; an entry is removed with its leg.
     pub(crate) calls: RefCell<BTreeMap<u64, Weak<Call>>>,
 }
 
 impl Server {
-    pub(crate) fn new(now: f64, listed: &ServerEntry, rounding: f64) -> Rc<Server> {
+    pub(crate) fn new(now: f64, entry: &ServerEntry, rounding_offset: f64) -> Rc<Server> {
         Rc::new(Server {
-            id: listed.id,
-            zone: listed.zone as u32,
-            cell: listed.cell,
-            weight: Cell::new(listed.weight),
-            rounding,
-            state: Cell::new(listed.state),
-            started: Cell::new(listed.started.unwrap_or(f64::NEG_INFINITY)),
+            id: entry.id,
+            zone: entry.zone as u32,
+            cell: entry.cell,
+            weight: Cell::new(entry.weight),
+            rounding_offset,
+            state: Cell::new(entry.state),
+            started: Cell::new(entry.started.unwrap_or(f64::NEG_INFINITY)),
             load: Cell::new(0),
-            held: Cell::new(0),
-            waiting: Cell::new(0),
+            connections: Cell::new(0),
+            pending_legs: Cell::new(0),
             health: Health::new(now),
-            tried_at: Cell::new(f64::NEG_INFINITY),
+            last_sent_at: Cell::new(f64::NEG_INFINITY),
             limit: Cell::new(f64::INFINITY),
-            cut_at: Cell::new(now),
-            dropped: Cell::new((f64::NEG_INFINITY, 0)),
-            carried: Cell::new(0.0),
+            limit_cut_at: Cell::new(now),
+            recent_breaks: Cell::new((f64::NEG_INFINITY, 0)),
+            peak_load: Cell::new(0.0),
             calls: RefCell::new(BTreeMap::new()),
             full_until: Cell::new(f64::NEG_INFINITY),
-            delay: Cell::new((0.0, f64::NEG_INFINITY)),
-            // From nothing, each balancer of many came to its first connection late, and all at the same time.
-            budget: Cell::new(rounding),
-            budget_at: Cell::new(now),
-            turn: Cell::new(f64::NEG_INFINITY),
-            groups: RefCell::new(BTreeMap::new()),
-            report: Cell::new(None),
-            probing: RefCell::new(Vec::new()),
+            message_delay: Cell::new((0.0, f64::NEG_INFINITY)),
+            // With budgets that start at zero, many balancers would send their first connection late and all at once.
+            budget: Cell::new(rounding_offset),
+            budget_updated_at: Cell::new(now),
+            last_turn: Cell::new(f64::NEG_INFINITY),
+            group_connections: RefCell::new(BTreeMap::new()),
+            load_report: Cell::new(None),
+            probe_waiters: RefCell::new(Vec::new()),
         })
     }
 
-    /// A process that started anew owes nothing to what its forerunner did.
-    pub(crate) fn begins_anew(&self, now: f64, started: f64) {
+    /// Forgets what was learned of the server's previous process.
+    pub(crate) fn reset_for_restart(&self, now: f64, started: f64) {
         self.started.set(started);
-        self.health.counted.set(0);
+        self.health.outcome_count.set(0);
         self.health.outcomes.set(0);
         self.limit.set(f64::INFINITY);
-        self.carried.set(0.0);
-        self.report.set(None);
-        self.budget.set(self.rounding);
-        self.budget_at.set(now);
-        self.turn.set(f64::NEG_INFINITY);
+        self.peak_load.set(0.0);
+        self.load_report.set(None);
+        self.budget.set(self.rounding_offset);
+        self.budget_updated_at.set(now);
+        self.last_turn.set(f64::NEG_INFINITY);
     }
 }
 
-/// What becomes of a call.
+/// The stage of a call.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Stage {
-    Waiting,
-    Standing,
-    Answered,
+    /// It has neither a connection nor an answer.
+    Pending,
+    /// Its connection is established.
+    Established,
+    /// It has its final answer, its connection has ended, or its client has left.
+    Finished,
 }
 
+/// One attempt to serve a call at a server; once the server answers, the leg carries the established connection.
 pub(crate) struct Leg {
-    pub(crate) place: u64,
+    /// The leg's key in `Server::calls`.
+    pub(crate) key: u64,
     pub(crate) server: Rc<Server>,
-    /// When the server had started, as it was then told.
-    pub(crate) started: f64,
+    /// The server's start time as known when the leg was sent.
+    pub(crate) server_started: f64,
     pub(crate) sent_at: f64,
+    /// The leg's part of `Server::load`, in nanocores.
     pub(crate) load: i64,
-    pub(crate) out: bool,
-    pub(crate) waiting: bool,
+    /// Whether it has not ended yet.
+    pub(crate) active: bool,
+    /// Whether it counts in `Server::pending_legs`.
+    pub(crate) pending: bool,
 }
 
 impl Leg {
-    pub(crate) fn out(now: f64, place: u64, server: Rc<Server>, load: i64) -> Leg {
-        Leg { place, started: server.started.get(), server, sent_at: now, load, out: true, waiting: true }
+    pub(crate) fn sent(now: f64, key: u64, server: Rc<Server>, load: i64) -> Leg {
+        Leg {
+            key,
+            server_started: server.started.get(),
+            server,
+            sent_at: now,
+            load,
+            active: true,
+            pending: true,
+        }
     }
 }
 
-/// A call that was taken; everything that happens to it is told here.
+/// A handle to a call that a balancer has accepted. All later events of the call are reported through it.
 pub struct Call {
     pub(crate) balancer: Rc<Balancer>,
     pub(crate) id: u64,
     pub(crate) request: CallRequest,
-    /// When its final answer is due: the client's time, or sooner where the process ends.
-    pub(crate) until: Cell<f64>,
-    pub(crate) taken_at: f64,
+    /// When the final answer is due: the client's deadline, or an earlier one if the process stops.
+    pub(crate) deadline: Cell<f64>,
+    pub(crate) accepted_at: f64,
     pub(crate) stage: Cell<Stage>,
     pub(crate) legs: RefCell<Vec<Leg>>,
-    /// Whether it waits for a probe now; none before its first.
-    pub(crate) probe: Cell<Option<bool>>,
-    /// When its timer counts; an earlier one was for what has come since.
-    pub(crate) due: Cell<f64>,
-    /// First leg that may have run: its zone, its cell, when it was sent.
+    /// Whether the call waits for a probe; `None` before its first one.
+    pub(crate) awaits_probe: Cell<Option<bool>>,
+    /// When the current timer is due. A timer that fires earlier was set for something that is over.
+    pub(crate) timer_due_at: Cell<f64>,
+    /// The zone, the cell and the sending time of the first leg that may have run.
     pub(crate) may_have_run: Cell<Option<(u32, u64, f64)>>,
-    /// The leg that the connection stands on.
-    pub(crate) bound: Cell<usize>,
-    pub(crate) rate: Cell<f64>,
-    pub(crate) busy: Cell<f64>,
-    pub(crate) read_at: Cell<f64>,
+    /// The leg that carries the established connection.
+    pub(crate) established_leg: Cell<usize>,
+    /// r_j: the connection's load while it is in use, in cores.
+    pub(crate) load_in_use: Cell<f64>,
+    /// p_j: the share of time for which the connection is in use, 0 to 1.
+    pub(crate) share_in_use: Cell<f64>,
+    pub(crate) load_updated_at: Cell<f64>,
 }
 
 impl Call {
-    /// The process can wait no longer than this, in seconds on the clock of the calls, whatever the client would.
-    pub fn limit_deadline(&self, until: f64) {
-        self.until.set(self.until.get().min(until));
+    /// Moves the deadline to `deadline` if that is earlier. The process can't wait longer than that, however long the
+    /// client would wait.
+    pub fn limit_deadline(&self, deadline: f64) {
+        self.deadline.set(self.deadline.get().min(deadline));
     }
 }
 
+/// A balancer: its settings and all that it knows of the servers and of its calls.
 pub struct Balancer {
-    pub(crate) me: Weak<Balancer>,
+    pub(crate) weak_self: Weak<Balancer>,
     pub(crate) host: Rc<dyn BalancerHost>,
-    pub(crate) chance: RefCell<Rand64>,
-    /// This balancer's number among its siblings, from 0.
+    pub(crate) rng: RefCell<Rand64>,
+    /// This balancer's number among all balancers, from 0.
     pub(crate) position: f64,
-    pub(crate) siblings: f64,
-    pub(crate) traffic: Vec<TrafficType>,
-    pub(crate) shares: TenantShares,
-    pub(crate) watch: ListSubscription,
-    pub(crate) place: Locality,
-    pub(crate) locations: Vec<ZoneAvailability>,
+    /// The number of balancers, this one included.
+    pub(crate) balancer_count: f64,
+    pub(crate) traffic_types: Vec<TrafficType>,
+    pub(crate) tenant_shares: TenantShares,
+    pub(crate) list_subscription: ListSubscription,
+    pub(crate) locality: Locality,
+    pub(crate) zones: Vec<ZoneAvailability>,
     pub(crate) slow_start: SlowStart,
-    pub(crate) legs: LegPolicy,
+    pub(crate) leg_policy: LegPolicy,
+    /// The cost of serving a group at a further server, in multiples of its default; 0 if groups share no work.
     pub(crate) group_cost: f64,
-    /// Whether the list's weights move with load, and so tell what servers hold.
-    pub(crate) live: bool,
-    /// Whether servers tell their load when probed.
-    pub(crate) probes: bool,
-    /// Outcomes of set-ups at any server: what all servers share shows in them.
-    pub(crate) shared: Health,
-    /// Sorted by id; a server leaves when it is gone and holds nothing of ours.
+    /// Whether the list's weights fall as a server's load rises, and so reveal it.
+    pub(crate) weights_follow_load: bool,
+    /// Whether servers report their load when probed.
+    pub(crate) has_probes: bool,
+    /// The outcomes of set-ups at all servers, which reveal a fault that the servers share.
+    pub(crate) overall_health: Health,
+    /// Sorted by id. A server is removed when it is gone and has no connection of this balancer.
     pub(crate) servers: RefCell<Vec<Rc<Server>>>,
+    /// The sum of `load` over the servers, in nanocores.
     pub(crate) load: Cell<i64>,
-    pub(crate) held: Cell<u32>,
-    /// Group -> own connections of it, the sum over the servers, which each pick wants; an entry goes with its last one.
-    pub(crate) groups: RefCell<BTreeMap<u64, u32>>,
-    /// Own connections for each unit of the ready servers' weight, cold ones too, near ones for the most, at the last pick.
-    pub(crate) held_by_weight: Cell<f64>,
-    pub(crate) picked_at: Cell<f64>,
-    /// The most weight that was ready near, near ones for the most, at any pick.
-    pub(crate) most_near: Cell<f64>,
-    /// When this balancer began.
-    pub(crate) began: Cell<f64>,
-    /// The mean of the reported loads, by weight, at the last pick.
-    pub(crate) reported: Cell<f64>,
-    pub(crate) home_at: Cell<f64>,
-    /// When a call was last turned away.
-    pub(crate) refused_at: Cell<f64>,
-    /// Legs placed so far; the next one's number.
-    pub(crate) placed: Cell<u64>,
-    /// The part of the servers, by weight, that looked sick at the last pick.
-    pub(crate) sick_share: Cell<f64>,
+    /// The sum of `connections` over the servers.
+    pub(crate) connections: Cell<u32>,
+    /// This balancer's connections by group, the sum over the servers, as each selection needs it. An entry is removed
+    /// with the group's last connection.
+    pub(crate) group_connections: RefCell<BTreeMap<u64, u32>>,
+    /// This balancer's connections for each unit of the ready servers' weight at the last selection. Cold servers are
+    /// included; other zones count only in part.
+    pub(crate) connections_per_weight: Cell<f64>,
+    pub(crate) last_selection_at: Cell<f64>,
+    /// The highest ready weight at any selection, in which other zones count only in part.
+    pub(crate) peak_near_weight: Cell<f64>,
+    /// When this balancer started.
+    pub(crate) started_at: Cell<f64>,
+    /// The mean of the reported loads at the last selection, by weight.
+    pub(crate) mean_reported_load: Cell<f64>,
+    /// When connections are next considered for relocation to the home zone.
+    pub(crate) relocate_home_at: Cell<f64>,
+    /// When a call was last rejected or released.
+    pub(crate) last_refusal_at: Cell<f64>,
+    /// The key of the next leg, which is the number of legs so far.
+    pub(crate) next_leg_key: Cell<u64>,
+    /// The share of the servers, by weight, that appeared unhealthy at the last selection.
+    pub(crate) unhealthy_share: Cell<f64>,
+    /// The longest guard time of all traffic types.
     pub(crate) longest_guard: f64,
-    pub(crate) shortest_message: f64,
-    pub(crate) ask_at: Cell<f64>,
+    /// The shortest message target of all traffic types.
+    pub(crate) shortest_message_target: f64,
+    /// When the subscription to the list is next retried.
+    pub(crate) resubscribe_at: Cell<f64>,
 }
 
 impl ListSubscription {
@@ -277,66 +321,74 @@
 }
 
 impl TenantShares {
-    pub fn new(shops: Vec<Tenant>, beyond: f64) -> TenantShares {
-        let held = shops.iter().map(|_| Cell::new(0)).collect();
-        TenantShares { standing: shops.iter().map(|s| s.quota_connections).sum(), shops, beyond, held }
+    /// `overage_revenue` is the revenue of a call beyond its tenant's quota, relative to 1 within it.
+    pub fn new(tenants: Vec<Tenant>, overage_revenue: f64) -> TenantShares {
+        let connections = tenants.iter().map(|_| Cell::new(0)).collect();
+        TenantShares {
+            total_quota: tenants.iter().map(|t| t.quota_connections).sum(),
+            tenants,
+            overage_revenue,
+            connections,
+        }
     }
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet; `start` sets it going.
+    /// A balancer that knows no servers yet and does nothing before `start`. `position` is its number among
+    /// `balancer_count` balancers, from 0.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         seed: u128,
         host: Rc<dyn BalancerHost>,
         position: usize,
-        siblings: usize,
-        traffic: Vec<TrafficType>,
-        shares: TenantShares,
-        watch: ListSubscription,
-        place: Locality,
-        locations: usize,
+        balancer_count: usize,
+        traffic_types: Vec<TrafficType>,
+        tenant_shares: TenantShares,
+        list_subscription: ListSubscription,
+        locality: Locality,
+        zone_count: usize,
         slow_start: SlowStart,
-        legs: LegPolicy,
+        leg_policy: LegPolicy,
         group_cost: f64,
-        live: bool,
-        probes: bool,
+        weights_follow_load: bool,
+        has_probes: bool,
     ) -> Rc<Balancer> {
-        let longest_guard = traffic.iter().map(|t| t.guard_time).fold(0.0, f64::max);
-        let shortest_message = traffic.iter().map(|t| t.message_target).fold(f64::INFINITY, f64::min);
-        Rc::new_cyclic(|me| Balancer {
-            me: me.clone(),
+        let longest_guard = traffic_types.iter().map(|t| t.guard_time).fold(0.0, f64::max);
+        let shortest_message_target =
+            traffic_types.iter().map(|t| t.message_target).fold(f64::INFINITY, f64::min);
+        Rc::new_cyclic(|weak_self| Balancer {
+            weak_self: weak_self.clone(),
             host,
-            chance: RefCell::new(Rand64::new(seed)),
+            rng: RefCell::new(Rand64::new(seed)),
             position: position as f64,
-            siblings: siblings.max(1) as f64,
-            traffic,
-            shares,
-            watch,
-            place,
-            locations: (0..locations.max(1)).map(|_| ZoneAvailability::default()).collect(),
+            balancer_count: balancer_count.max(1) as f64,
+            traffic_types,
+            tenant_shares,
+            list_subscription,
+            locality,
+            zones: (0..zone_count.max(1)).map(|_| ZoneAvailability::default()).collect(),
             slow_start,
-            legs,
-            shared: Health::new(0.0),
+            leg_policy,
+            overall_health: Health::new(0.0),
             group_cost,
-            live,
-            probes,
+            weights_follow_load,
+            has_probes,
             servers: RefCell::new(Vec::new()),
             load: Cell::new(0),
-            held: Cell::new(0),
-            groups: RefCell::new(BTreeMap::new()),
-            held_by_weight: Cell::new(0.0),
-            picked_at: Cell::new(0.0),
-            most_near: Cell::new(0.0),
-            began: Cell::new(0.0),
-            reported: Cell::new(1.0),
-            home_at: Cell::new(f64::INFINITY),
-            refused_at: Cell::new(f64::NEG_INFINITY),
-            placed: Cell::new(0),
-            sick_share: Cell::new(0.0),
+            connections: Cell::new(0),
+            group_connections: RefCell::new(BTreeMap::new()),
+            connections_per_weight: Cell::new(0.0),
+            last_selection_at: Cell::new(0.0),
+            peak_near_weight: Cell::new(0.0),
+            started_at: Cell::new(0.0),
+            mean_reported_load: Cell::new(1.0),
+            relocate_home_at: Cell::new(f64::INFINITY),
+            last_refusal_at: Cell::new(f64::NEG_INFINITY),
+            next_leg_key: Cell::new(0),
+            unhealthy_share: Cell::new(0.0),
             longest_guard,
-            shortest_message,
-            ask_at: Cell::new(f64::INFINITY),
+            shortest_message_target,
+            resubscribe_at: Cell::new(f64::INFINITY),
         })
     }
 }
--- a/crates/dewhead/src/types.rs
+++ b/crates/dewhead/src/types.rs
@@ -41,6 +41,7 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
+    /// The tenant's share of the service as configured. The decisions use the quota only.
     pub share: f64,
     /// Established connections that the tenant's share covers, over all balancers; 0 if not configured.
     pub quota_connections: f64,
