--- a/crates/dewhead-proxy/src/lifecycle/stages.rs
+++ b/crates/dewhead-proxy/src/lifecycle/stages.rs
@@ -1,28 +1,31 @@
-//! The stages of a process's life, as a machine without I/O: it is told what happens and says what is to be done.
+//! The stages of the proxy process as a state machine without I/O: it takes events and returns the actions to carry out.
 //!
-//! Readiness is told once a list of servers is held, and not before. What cannot happen in a stage changes nothing: a
-//! second SIGTERM, a SIGHUP while stopping.
+//! Readiness is reported only once a server list is held. An event that does not apply in the current stage, such as a
+//! second SIGTERM, is ignored.
 
-/// Where in its life the process is.
+/// Current stage of the process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Stage {
-    /// The configuration is read; nobody can connect yet.
+    /// The configuration has been read, and the listening socket is not open yet.
     Starting,
-    /// Clients can connect, and no list of servers is held, or an empty one.
+    /// Clients can connect, but there is no server list, or an empty one.
     Waiting,
+    /// Clients can connect, and servers are known.
     Ready,
-    /// A new configuration is being read.
+    /// The configuration is being read again.
     Reloading,
-    /// Sends its clients away and takes no new front's; can be taken back.
+    /// Moves its clients to other proxies and accepts no new ones from fronts. `UndrainRequested` reverts it.
     Draining,
-    /// Another process has taken the place; ends once its own clients are gone, or at the time that was given.
+    /// A successor has taken over. The process ends once its own clients have left, or when their time is up.
     Retiring,
-    /// Told to end: once all are gone, or at its time.
+    /// Asked to stop. The process ends once all connections are closed, or when the time for that is up.
     Stopping,
+    /// The event loop has ended.
     Stopped,
 }
 
 impl Stage {
+    /// The name used in the log, in the status line for the service manager and on the control socket.
     pub fn name(self) -> &'static str {
         match self {
             Stage::Starting => "starting",
@@ -37,117 +40,130 @@
     }
 }
 
-/// What happens.
+/// Input of the state machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StageEvent {
+    /// The listening socket is open.
     Listening,
-    /// Whether servers are known.
+    /// The server list may have changed; true if servers are known.
     ServerListHeld(bool),
-    /// To read the configuration again; then that it was read, well or not.
+    /// SIGHUP, or `reload` on the control socket.
     ReloadRequested,
+    /// The configuration was read again, whether or not it was valid.
     ReloadFinished,
+    /// `drain` on the control socket.
     DrainRequested,
+    /// `undrain` on the control socket.
     UndrainRequested,
+    /// SIGTERM or SIGINT, or `stop` on the control socket from the successor.
     StopRequested,
-    /// Another process has taken this one's place.
+    /// A successor has taken over.
     SuccessorTookOver,
-    /// Nothing is open any more, or time is up.
+    /// No connection is open any more, or time is up.
     Finished,
 }
 
-/// What is to be done.
+/// Output of the state machine, carried out by the event loop.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StageAction {
+    /// Send `READY=1` to the service manager.
     NotifyReady,
+    /// Send `RELOADING=1` to the service manager.
     NotifyReloading,
+    /// Send `STOPPING=1` to the service manager.
     NotifyStopping,
-    /// A word for those who look: the stage has changed.
+    /// Log the new stage and send it to the service manager as its status line.
     ReportStage,
+    /// Read the configuration again.
     ReloadConfiguration,
+    /// Start to drain.
     Drain,
+    /// End the drain and accept clients again.
     Undrain,
+    /// Start to stop.
     Stop,
 }
 
-/// The machine.
+/// The state machine of the stages.
 pub struct StageMachine {
     stage: Stage,
-    list: bool,
-    /// Asked to read the configuration again before anybody could be served.
-    renew_later: bool,
+    server_list_held: bool,
+    /// A reload was requested in stage `Starting` and is done once the process listens.
+    reload_deferred: bool,
 }
 
 impl Default for StageMachine {
     fn default() -> StageMachine {
-        StageMachine { stage: Stage::Starting, list: false, renew_later: false }
+        StageMachine { stage: Stage::Starting, server_list_held: false, reload_deferred: false }
     }
 }
 
 impl StageMachine {
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    fn to(&mut self, stage: Stage, acts: &[StageAction]) -> Vec<StageAction> {
+    /// Changes the stage and returns `actions`, followed by `ReportStage`.
+    fn enter(&mut self, stage: Stage, actions: &[StageAction]) -> Vec<StageAction> {
         self.stage = stage;
-        acts.iter().copied().chain([StageAction::ReportStage]).collect()
+        actions.iter().copied().chain([StageAction::ReportStage]).collect()
     }
 
-    /// Where it serves from, by whether servers are known.
-    fn serving(&mut self) -> Vec<StageAction> {
-        if self.list {
-            self.to(Stage::Ready, &[StageAction::NotifyReady])
+    /// Enters `Ready` if servers are known, otherwise `Waiting`.
+    fn enter_serving_stage(&mut self) -> Vec<StageAction> {
+        if self.server_list_held {
+            self.enter(Stage::Ready, &[StageAction::NotifyReady])
         } else {
-            self.to(Stage::Waiting, &[])
+            self.enter(Stage::Waiting, &[])
         }
     }
 
-    /// The acts, in their order.
-    pub fn handle(&mut self, told: StageEvent) -> Vec<StageAction> {
-        if let StageEvent::ServerListHeld(held) = told {
-            self.list = held;
+    /// Applies an event and returns the actions to carry out, in order.
+    pub fn handle(&mut self, event: StageEvent) -> Vec<StageAction> {
+        if let StageEvent::ServerListHeld(held) = event {
+            self.server_list_held = held;
         }
-        match (self.stage, told) {
+        match (self.stage, event) {
             (Stage::Stopped, _) => Vec::new(),
             (Stage::Starting, StageEvent::Listening) => {
-                let mut acts = self.serving();
-                if std::mem::take(&mut self.renew_later) {
-                    acts.extend(self.handle(StageEvent::ReloadRequested));
+                let mut actions = self.enter_serving_stage();
+                if std::mem::take(&mut self.reload_deferred) {
+                    actions.extend(self.handle(StageEvent::ReloadRequested));
                 }
-                acts
+                actions
             }
             (Stage::Starting, StageEvent::ReloadRequested) => {
-                self.renew_later = true;
+                self.reload_deferred = true;
                 Vec::new()
             }
             (Stage::Waiting, StageEvent::ServerListHeld(true))
-            | (Stage::Ready, StageEvent::ServerListHeld(false)) => self.serving(),
-            (Stage::Waiting | Stage::Ready, StageEvent::ReloadRequested) => {
-                self.to(Stage::Reloading, &[StageAction::NotifyReloading, StageAction::ReloadConfiguration])
-            }
-            // One that sends its clients away still follows discovery where it has moved to.
+            | (Stage::Ready, StageEvent::ServerListHeld(false)) => self.enter_serving_stage(),
+            (Stage::Waiting | Stage::Ready, StageEvent::ReloadRequested) => self
+                .enter(Stage::Reloading, &[StageAction::NotifyReloading, StageAction::ReloadConfiguration]),
+            // A process whose clients are leaving still has to follow discovery to a new address.
             (Stage::Draining | Stage::Retiring | Stage::Stopping, StageEvent::ReloadRequested) => {
                 vec![StageAction::ReloadConfiguration]
             }
-            (Stage::Reloading, StageEvent::ReloadFinished) => self.serving(),
+            (Stage::Reloading, StageEvent::ReloadFinished) => self.enter_serving_stage(),
             (Stage::Waiting | Stage::Ready, StageEvent::DrainRequested) => {
-                self.to(Stage::Draining, &[StageAction::Drain])
+                self.enter(Stage::Draining, &[StageAction::Drain])
             }
             (Stage::Draining, StageEvent::UndrainRequested) => {
-                let mut acts = vec![StageAction::Undrain];
-                acts.extend(self.serving());
-                acts
+                let mut actions = vec![StageAction::Undrain];
+                actions.extend(self.enter_serving_stage());
+                actions
             }
             (Stage::Stopping, StageEvent::StopRequested | StageEvent::SuccessorTookOver)
             | (Stage::Retiring, StageEvent::SuccessorTookOver) => Vec::new(),
-            // The manager has been told of the other one; this one is no longer its business. Its signals are: taken for a
-            // second stop, one was passed over, and the clients that were left were cut by SIGKILL.
-            (_, StageEvent::SuccessorTookOver) => self.to(Stage::Retiring, &[]),
-            (Stage::Retiring, StageEvent::StopRequested) => self.to(Stage::Stopping, &[StageAction::Stop]),
+            // The service manager now tracks the successor, so it gets no STOPPING=1 from this process. A signal still has
+            // to stop this process: when it was ignored as a second stop, SIGKILL cut off the remaining clients.
+            (_, StageEvent::SuccessorTookOver) => self.enter(Stage::Retiring, &[]),
+            (Stage::Retiring, StageEvent::StopRequested) => self.enter(Stage::Stopping, &[StageAction::Stop]),
             (_, StageEvent::StopRequested) => {
-                self.to(Stage::Stopping, &[StageAction::NotifyStopping, StageAction::Stop])
+                self.enter(Stage::Stopping, &[StageAction::NotifyStopping, StageAction::Stop])
             }
-            (Stage::Retiring | Stage::Stopping, StageEvent::Finished) => self.to(Stage::Stopped, &[]),
+            (Stage::Retiring | Stage::Stopping, StageEvent::Finished) => self.enter(Stage::Stopped, &[]),
             _ => Vec::new(),
         }
     }
