--- a/crates/dewhead-proxy/src/lifecycle/notify.rs
+++ b/crates/dewhead-proxy/src/lifecycle/notify.rs
@@ -1,49 +1,68 @@
-//! Words to a service manager, on the socket that it names (`NOTIFY_SOCKET`); without one they go nowhere.
+//! Notifications to the service manager, on the socket named by `NOTIFY_SOCKET`. Without that variable nothing is sent.
 
 use log::warn;
 use sd_notify::NotifyState;
 use std::time::Duration;
 
+/// A notification, as in `sd_notify(3)`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Notification<'a> {
+    /// `READY=1`.
     Ready,
+    /// `RELOADING=1` with `MONOTONIC_USEC`.
     Reloading,
+    /// `STOPPING=1`.
     Stopping,
+    /// `STATUS=` with a text.
     Status(&'a str),
-    /// That this is the service's process now.
+    /// `MAINPID=`: this process is now the main process of the service.
     MainPid,
-    /// The loop still turns.
+    /// `WATCHDOG=1`: the event loop still runs.
     Watchdog,
 }
 
-/// Where words go, and how often the manager wants a sign of life.
+/// Sends notifications, including the periodic watchdog notification if the service manager asks for it.
 pub struct Notifier {
-    named: bool,
-    every: Option<f64>,
-    next: f64,
-    failed: bool,
+    enabled: bool,
+    /// Time between watchdog notifications, in seconds; none if the service manager asks for none.
+    watchdog_interval: Option<f64>,
+    /// When the next watchdog notification is due, by the clock of the event loop.
+    next_watchdog: f64,
+    /// A failure to send has been logged.
+    failure_logged: bool,
 }
 
 impl Notifier {
-    /// By this process's environment.
+    /// A notifier configured by the environment of this process.
     pub fn from_environment() -> Notifier {
-        let named = std::env::var_os("NOTIFY_SOCKET").is_some();
-        // Twice as often as it must be, so that one that comes a little late is in time.
-        let every = sd_notify::watchdog_enabled()
+        let enabled = std::env::var_os("NOTIFY_SOCKET").is_some();
+        // At half the watchdog timeout, so that a notification that is a little late is still in time.
+        let watchdog_interval = sd_notify::watchdog_enabled()
             .map(|limit| (limit / 2).max(Duration::from_millis(10)).as_secs_f64());
-        Notifier { named, every: every.filter(|_| named), next: f64::NEG_INFINITY, failed: false }
+        Notifier {
+            enabled,
+            watchdog_interval: watchdog_interval.filter(|_| enabled),
+            next_watchdog: f64::NEG_INFINITY,
+            failure_logged: false,
+        }
     }
 
-    /// One that tells nobody.
+    /// A notifier that sends nothing.
     pub fn disabled() -> Notifier {
-        Notifier { named: false, every: None, next: f64::NEG_INFINITY, failed: false }
+        Notifier {
+            enabled: false,
+            watchdog_interval: None,
+            next_watchdog: f64::NEG_INFINITY,
+            failure_logged: false,
+        }
     }
 
-    pub fn send(&mut self, word: Notification) {
-        if !self.named {
+    /// Sends a notification. A failure is logged once and otherwise ignored.
+    pub fn send(&mut self, notification: Notification) {
+        if !self.enabled {
             return;
         }
-        let told = match word {
+        let sent = match notification {
             Notification::Ready => sd_notify::notify(&[NotifyState::Ready]),
             Notification::Reloading => NotifyState::monotonic_usec_now()
                 .and_then(|clock| sd_notify::notify(&[NotifyState::Reloading, clock])),
@@ -52,23 +71,23 @@
             Notification::MainPid => sd_notify::notify(&[NotifyState::MainPid(std::process::id())]),
             Notification::Watchdog => sd_notify::notify(&[NotifyState::Watchdog]),
         };
-        if let Err(e) = told {
-            // Said once: a manager that does not listen is no reason to stop serving.
-            if !std::mem::replace(&mut self.failed, true) {
-                warn!("the service manager is not reached: {e}");
+        if let Err(e) = sent {
+            // Logged once: a service manager that can't be reached is no reason to stop serving.
+            if !std::mem::replace(&mut self.failure_logged, true) {
+                warn!("the service manager can't be reached: {e}");
             }
         }
     }
 
-    /// When the next sign of life is due.
+    /// When the next watchdog notification is due; none if the service manager asks for none.
     pub fn watchdog_due(&self) -> Option<f64> {
-        self.every.map(|_| self.next)
+        self.watchdog_interval.map(|_| self.next_watchdog)
     }
 
-    /// Gives a sign of life if one is due.
+    /// Sends the watchdog notification if it is due.
     pub fn send_watchdog_if_due(&mut self, now: f64) {
-        if let Some(every) = self.every.filter(|_| now >= self.next) {
-            self.next = now + every;
+        if let Some(interval) = self.watchdog_interval.filter(|_| now >= self.next_watchdog) {
+            self.next_watchdog = now + interval;
             self.send(Notification::Watchdog);
         }
     }
--- a/crates/dewhead-proxy/src/lifecycle/signals.rs
+++ b/crates/dewhead-proxy/src/lifecycle/signals.rs
@@ -1,7 +1,8 @@
-//! Signals: a flag tells that one has come, and a byte on a socket wakes the loop.
+//! Signal handling: each handler sets a flag and writes a byte to a socket that wakes the event loop.
 //!
-//! The byte alone is not enough: the handler's write may fail, for want of memory or as another signal comes, and there is
-//! nobody to try it again. The flag is looked at in each turn, and the signal itself ends the wait that it comes in.
+//! The byte alone is not enough: the handler's write may fail, for lack of memory or because another signal arrives, and
+//! nothing retries it. The loop therefore checks the flag in every iteration, and the signal itself interrupts the wait
+//! during which it arrives.
 
 use crate::transient::persist;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -9,55 +10,56 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Whether signals of one kind have come since it was last asked.
+/// Set by the handler when a signal of one kind arrives.
 #[derive(Clone, Default)]
 pub struct SignalFlag(Arc<AtomicBool>);
 
 impl SignalFlag {
-    /// Signals that came close together are one.
+    /// Returns the flag and clears it. Several signals since the last call count as one.
     pub fn take(&self) -> bool {
         self.0.swap(false, Ordering::AcqRel)
     }
 }
 
-/// What signals ask for.
+/// The flags of all signals that are handled.
 pub struct SignalFlags {
-    /// To end: SIGTERM and SIGINT.
+    /// Stop the process: SIGTERM and SIGINT.
     pub stop: SignalFlag,
-    /// To read the configuration again: SIGHUP.
+    /// Read the configuration again: SIGHUP.
     pub reload: SignalFlag,
 }
 
-/// The signals that the process is told things by.
+/// The registered handlers: their flags, and the sockets that wake the event loop.
 pub struct Signals {
     pub flags: SignalFlags,
-    /// Where a byte comes for each.
+    /// Receives a byte for each SIGTERM and SIGINT.
     pub stop_wakeup: UnixStream,
+    /// Receives a byte for each SIGHUP.
     pub reload_wakeup: UnixStream,
 }
 
 impl Signals {
-    /// Listens for them from now on. Before that one ends the process.
+    /// Registers the handlers. Until then these signals have their default action, which ends the process.
     ///
     /// # Errors
     ///
-    /// No handler or socket is to be had.
+    /// A handler can't be registered, or a socket can't be created.
     pub fn register() -> Result<Signals, String> {
-        let (stop, stop_wakeup) = listen_for(&[SIGTERM, SIGINT])?;
-        let (reload, reload_wakeup) = listen_for(&[SIGHUP])?;
+        let (stop, stop_wakeup) = register_handlers(&[SIGTERM, SIGINT])?;
+        let (reload, reload_wakeup) = register_handlers(&[SIGHUP])?;
         Ok(Signals { flags: SignalFlags { stop, reload }, stop_wakeup, reload_wakeup })
     }
 }
 
-fn listen_for(signals: &[i32]) -> Result<(SignalFlag, UnixStream), String> {
-    let fault = |e| format!("signals: {e}");
+fn register_handlers(signals: &[i32]) -> Result<(SignalFlag, UnixStream), String> {
+    let error_text = |e| format!("signals: {e}");
     let flag = SignalFlag::default();
-    let (bytes, sender) = persist(UnixStream::pair).map_err(fault)?;
+    let (wakeup, sender) = persist(UnixStream::pair).map_err(error_text)?;
     for signal in signals {
-        let sender = persist(|| sender.try_clone()).map_err(fault)?;
-        // Handlers run in this order, so that a byte is never there before its flag.
-        signal_hook::flag::register(*signal, flag.0.clone()).map_err(fault)?;
-        signal_hook::low_level::pipe::register(*signal, sender).map_err(fault)?;
+        let sender = persist(|| sender.try_clone()).map_err(error_text)?;
+        // Handlers run in the order of registration, so the flag is always set before its byte arrives.
+        signal_hook::flag::register(*signal, flag.0.clone()).map_err(error_text)?;
+        signal_hook::low_level::pipe::register(*signal, sender).map_err(error_text)?;
     }
-    Ok((flag, bytes))
+    Ok((flag, wakeup))
 }
