--- a/crates/dewhead-proxy/src/lifecycle/command_line.rs
+++ b/crates/dewhead-proxy/src/lifecycle/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line and its sub-commands.
 
 use super::configuration::Configuration;
 use crate::control::client;
@@ -21,55 +21,56 @@
     Version(Version),
 }
 
-/// Serve until told to stop by SIGTERM or SIGINT.
+/// Serve until stopped by SIGTERM or SIGINT.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration; the file that LB_CONFIG names if not given
+    /// path of the configuration file; defaults to the value of LB_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
-    /// take the place of the process with this control socket: its listening socket and what it has learned
+    /// take over from the process with this control socket: its listening socket and the state it has learned
     #[argh(option)]
     take_over: Option<PathBuf>,
-    /// with --take-over: over how many seconds that process sends its clients away
+    /// with --take-over: time over which that process moves its clients away, in seconds
     #[argh(option)]
     leave_in: Option<f64>,
 }
 
-/// Read a configuration and say what is wrong with it, without serving.
+/// Read a configuration and report errors in it, without serving.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the configuration; the file that LB_CONFIG names if not given
+    /// path of the configuration file; defaults to the value of LB_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
 }
 
-/// Ask a running proxy, or tell it what to do, over its control socket.
+/// Query or control a running proxy over its control socket.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "ctl")]
 struct Ctl {
     /// status, connections, drain, undrain, reload or handover
     #[argh(positional)]
     action: String,
-    /// the control socket; the one that the configuration names if not given
+    /// path of the control socket; defaults to the one in the configuration
     #[argh(option)]
     socket: Option<PathBuf>,
-    /// the configuration; the file that LB_CONFIG names if not given
+    /// path of the configuration file; defaults to the value of LB_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
-    /// for drain: over how many seconds clients are sent away
+    /// for drain: time over which clients are moved away, in seconds
     #[argh(option)]
     seconds: Option<f64>,
-    /// for handover: the program that takes the place; the running one's own if not given
+    /// for handover: path of the program that takes over; defaults to the program of the running proxy
     #[argh(option)]
     program: Option<String>,
-    /// print the answer as it came, one line of JSON
+    /// print the response as received, one line of JSON
     #[argh(switch)]
     json: bool,
 }
 
 impl Ctl {
+    /// Sends the request and prints the response.
     fn execute(&self) -> Result<(), String> {
         let socket = match &self.socket {
             Some(path) => path.clone(),
@@ -77,11 +78,11 @@
                 .control_socket
                 .ok_or("no control socket: give --socket, or set field 'control' in the configuration")?,
         };
-        let answer = client::send_request(&socket, &self.action, self.seconds, self.program.as_deref())?;
+        let response = client::send_request(&socket, &self.action, self.seconds, self.program.as_deref())?;
         if self.json {
-            println!("{answer}");
+            println!("{response}");
         } else {
-            print!("{}", client::format_plain_text(&answer));
+            print!("{}", client::format_plain_text(&response));
         }
         Ok(())
     }
@@ -92,16 +93,18 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
+/// Parses the arguments of this process. Exits on `--help` and on invalid arguments.
 pub fn parse() -> CommandLine {
     argh::from_env()
 }
 
-pub fn execute(line: &CommandLine) -> Result<(), String> {
-    match &line.command {
+/// Runs the sub-command.
+pub fn execute(command_line: &CommandLine) -> Result<(), String> {
+    match &command_line.command {
         Command::Serve(serve) => super::serve(serve.config.clone(), serve.take_over.clone(), serve.leave_in),
         Command::Check(check) => {
-            let read = Configuration::load(check.config.as_deref())?;
-            println!("{} would serve on {}", read.name, read.listen);
+            let configuration = Configuration::load(check.config.as_deref())?;
+            println!("{} would serve on {}", configuration.name, configuration.listen);
             Ok(())
         }
         Command::Ctl(ctl) => ctl.execute(),
