--- a/crates/dewhead-proxy/src/lifecycle/configuration.rs
+++ b/crates/dewhead-proxy/src/lifecycle/configuration.rs
@@ -1,4 +1,4 @@
-//! The one place where the configuration is read, checked and given its defaults.
+//! Reads the configuration file, validates it and applies defaults. No other module does this.
 
 use crate::transient::persist;
 use crate::wire::listing::listing;
@@ -9,48 +9,59 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Kept of the memory limit for what is not an end of a session: the program, the list, the watch.
-const MEMORY_KEPT: u64 = 6 << 20;
-/// What an end of a session can take at the most: a read's bytes that wait, a line, and its entries.
-const MEMORY_AN_END: u64 = 14 << 10;
-/// Without a limit told.
-const DESCRIPTORS: u64 = 1024;
+/// Part of the memory limit that is not available to connections: the program, the server list and the watch on
+/// discovery.
+const RESERVED_MEMORY_BYTES: u64 = 6 << 20;
+/// Most memory that the client or server connection of a session can use: the pending bytes of one read, a
+/// line, and its table entries.
+const MEMORY_BYTES_PER_CONNECTION: u64 = 14 << 10;
+/// Limit on descriptors where the configuration sets none.
+const DEFAULT_MAX_DESCRIPTORS: u64 = 1024;
 
+/// A validated configuration.
 pub struct Configuration {
+    /// Name of this proxy, for the log.
     pub name: String,
+    /// Address on which clients connect.
     pub listen: SocketAddr,
+    /// Address of discovery.
     pub discovery: SocketAddr,
+    /// Seed of the random number generator.
     pub seed: u128,
-    /// The most that may be open at a time, by the limits on sockets and on memory.
+    /// Most descriptors open at a time, by the limits on sockets and on memory.
     pub max_descriptors: usize,
-    /// The list of servers as it was last had.
+    /// The server list that was last received, key `known`; null if there is none.
     pub last_known_list: Value,
+    /// The settings of the balancer.
     pub startup: Startup,
-    /// What of the settings is obeyed otherwise than its words say, a line each.
+    /// Settings that are valid but are not applied literally, one line each.
     pub warnings: Vec<String>,
-    /// Where operators ask and tell; nowhere if not told.
+    /// Path of the control socket; none if the proxy opens no control socket.
     pub control_socket: Option<PathBuf>,
+    /// The settings that a reload can't change.
     pub restart_only: RestartOnlySettings,
 }
 
-/// What can't change while the proxy runs: standing connections and the balancer hang on it. `known` counts at a start
-/// alone, too, but the list held then is newer than any that a file has.
+/// Settings that can't change while the proxy runs, as open connections and the balancer depend on them, with their keys.
+/// `known` is also used only at the start, but is not among them: later, the list held is newer than any in a file.
 pub struct RestartOnlySettings(Vec<(String, Value)>);
 
 impl RestartOnlySettings {
-    fn of(told: &Value) -> RestartOnlySettings {
-        let one = |name: &str| (name.to_owned(), told[name].clone());
-        let parts = told["settings"].as_object().into_iter().flatten();
+    fn extract(json: &Value) -> RestartOnlySettings {
+        let top_level = |name: &str| (name.to_owned(), json[name].clone());
+        let parts = json["settings"].as_object().into_iter().flatten();
         let parts = parts.map(|(name, part)| (format!("settings.{name}"), part.clone()));
-        RestartOnlySettings(["name", "listen", "seed", "control"].map(one).into_iter().chain(parts).collect())
+        RestartOnlySettings(
+            ["name", "listen", "seed", "control"].map(top_level).into_iter().chain(parts).collect(),
+        )
     }
 
-    /// The keys that another has otherwise, or not at all, or alone.
+    /// Returns the keys whose values differ or that only one of the two has, sorted.
     pub fn differing_keys<'a>(&'a self, other: &'a RestartOnlySettings) -> Vec<&'a str> {
-        let lacks = |(a, b): (&'a RestartOnlySettings, &RestartOnlySettings)| {
-            a.0.iter().filter(|one| !b.0.contains(one)).map(|(key, _)| key.as_str()).collect::<Vec<_>>()
+        let missing_in = |(a, b): (&'a RestartOnlySettings, &RestartOnlySettings)| {
+            a.0.iter().filter(|entry| !b.0.contains(entry)).map(|(key, _)| key.as_str()).collect::<Vec<_>>()
         };
-        let mut keys = [lacks((self, other)), lacks((other, self))].concat();
+        let mut keys = [missing_in((self, other)), missing_in((other, self))].concat();
         keys.sort_unstable();
         keys.dedup();
         keys
@@ -58,74 +69,81 @@
 }
 
 impl Configuration {
-    /// As `load`, for a process that can't start without it: a file that can't be read for a moment is read again.
+    /// Like `load`, for the start of the process, which fails without a configuration: transient read errors are retried.
     pub fn load_at_start(path: Option<&Path>) -> Result<Configuration, String> {
-        Configuration::load_by(path, |path| persist(|| std::fs::read(path)))
+        Configuration::load_with(path, |path| persist(|| std::fs::read(path)))
     }
 
-    /// Reads the file named, or else the one that LB_CONFIG names.
+    /// Loads the file at `path`, or the one named by LB_CONFIG if there is no path.
     pub fn load(path: Option<&Path>) -> Result<Configuration, String> {
-        Configuration::load_by(path, |path| std::fs::read(path))
+        Configuration::load_with(path, |path| std::fs::read(path))
     }
 
-    fn load_by(
+    fn load_with(
         path: Option<&Path>,
         read: impl Fn(&Path) -> io::Result<Vec<u8>>,
     ) -> Result<Configuration, String> {
-        let told = std::env::var_os("LB_CONFIG");
+        let from_environment = std::env::var_os("LB_CONFIG");
         let path = path
-            .or(told.as_ref().map(Path::new))
+            .or(from_environment.as_ref().map(Path::new))
             .ok_or("no configuration: give --config FILE or set LB_CONFIG")?;
         let bytes = read(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let value: Value = serde_json::from_slice(&bytes).map_err(|e| format!("{}: {e}", path.display()))?;
         Configuration::from_json(&value).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    pub fn from_json(told: &Value) -> Outcome<Configuration> {
-        let settings = |of| shape::check(of).and_then(|remarks| Ok((Startup::read(of)?, remarks)));
-        let (startup, remarks) = field(told, "settings").and_then(settings).map_err(|e| {
-            if told["settings"].is_null() {
+    /// Validates a parsed configuration.
+    ///
+    /// # Errors
+    ///
+    /// One line that names the faulty key.
+    pub fn from_json(json: &Value) -> Outcome<Configuration> {
+        let settings = |of| shape::check(of).and_then(|warnings| Ok((Startup::read(of)?, warnings)));
+        let (startup, warnings) = field(json, "settings").and_then(settings).map_err(|e| {
+            if json["settings"].is_null() {
                 e
             } else {
                 format!("settings: {e}")
             }
         })?;
-        let (mut descriptors, mut memory) = (DESCRIPTORS, None);
-        if let Some(limits) = maybe(told, "limits", field)? {
-            let within = |e| format!("limits: {e}");
-            descriptors = maybe(limits, "sockets", whole).map_err(within)?.unwrap_or(DESCRIPTORS);
-            memory = maybe(limits, "memory_mb", whole).map_err(within)?;
+        let (mut max_descriptors, mut memory) = (DEFAULT_MAX_DESCRIPTORS, None);
+        if let Some(limits) = maybe(json, "limits", field)? {
+            let in_limits = |e| format!("limits: {e}");
+            max_descriptors =
+                maybe(limits, "sockets", whole).map_err(in_limits)?.unwrap_or(DEFAULT_MAX_DESCRIPTORS);
+            memory = maybe(limits, "memory_mb", whole).map_err(in_limits)?;
         }
         if let Some(memory) = memory {
-            let ends = memory.saturating_mul(1 << 20).saturating_sub(MEMORY_KEPT) / MEMORY_AN_END;
-            descriptors = descriptors.min(ends);
+            let connections = memory.saturating_mul(1 << 20).saturating_sub(RESERVED_MEMORY_BYTES)
+                / MEMORY_BYTES_PER_CONNECTION;
+            max_descriptors = max_descriptors.min(connections);
         }
-        if descriptors < 64 {
+        if max_descriptors < 64 {
             return Err(
                 "limits: fields 'sockets' and 'memory_mb' leave room for fewer than 64 descriptors".into()
             );
         }
-        let seed = text(told, "seed")?;
+        let seed = text(json, "seed")?;
         let seed = u64::from_str_radix(seed, 16).map_err(|_| wrong("seed", "hex digits"))?;
-        let remembered = told.get("known").cloned().unwrap_or_default();
-        if !remembered.is_null() {
-            listing(&remembered, &startup.known.zones).map_err(|e| format!("known: {e}"))?;
+        let last_known_list = json.get("known").cloned().unwrap_or_default();
+        if !last_known_list.is_null() {
+            listing(&last_known_list, &startup.known.zones).map_err(|e| format!("known: {e}"))?;
         }
         Ok(Configuration {
-            name: maybe(told, "name", text)?.unwrap_or("dewhead").to_owned(),
-            listen: address(told, "listen")?,
-            discovery: address(told, "discovery")?,
+            name: maybe(json, "name", text)?.unwrap_or("dewhead").to_owned(),
+            listen: address(json, "listen")?,
+            discovery: address(json, "discovery")?,
             seed: u128::from(seed),
-            max_descriptors: descriptors as usize,
-            last_known_list: remembered,
+            max_descriptors: max_descriptors as usize,
+            last_known_list,
             startup,
-            warnings: remarks,
-            control_socket: maybe(told, "control", text)?.map(PathBuf::from),
-            restart_only: RestartOnlySettings::of(told),
+            warnings,
+            control_socket: maybe(json, "control", text)?.map(PathBuf::from),
+            restart_only: RestartOnlySettings::extract(json),
         })
     }
 }
 
-fn address(told: &Value, name: &str) -> Outcome<SocketAddr> {
-    text(told, name)?.parse().map_err(|_| wrong(name, "an address with a port"))
+fn address(json: &Value, name: &str) -> Outcome<SocketAddr> {
+    text(json, name)?.parse().map_err(|_| wrong(name, "an address with a port"))
 }
