--- a/crates/dewhead-proxy/src/lifecycle/mod.rs
+++ b/crates/dewhead-proxy/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Start and stop: the command line, the configuration, signals and the log.
+//! Start and stop of the process: command line, configuration, stages, signals, service manager and log.
 
 mod command_line;
 pub mod configuration;
@@ -23,23 +23,24 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Runs the program; what it returns is the exit code.
+/// Runs the program and returns its exit code.
 pub fn run() -> i32 {
-    let command = command_line::parse();
-    match command_line::execute(&command) {
+    let arguments = command_line::parse();
+    match command_line::execute(&arguments) {
         Ok(()) => 0,
-        Err(fault) => {
-            // A log that can't be written changes nothing of the outcome.
-            let _ = writeln!(std::io::stderr(), "dewhead: {fault}");
+        Err(error) => {
+            // The exit code is the same if standard error can't be written.
+            let _ = writeln!(std::io::stderr(), "dewhead: {error}");
             1
         }
     }
 }
 
+/// Serves until stopped. With `take_over`, first takes over from the process with that control socket.
 fn serve(path: Option<PathBuf>, take_over: Option<PathBuf>, leave_in: Option<f64>) -> Result<(), String> {
-    // Before anything that takes time: a signal that nobody hears ends the process.
+    // Before anything that takes time, as a signal without a handler ends the process.
     let signals = Signals::register()?;
-    let read = Configuration::load_at_start(path.as_deref())?;
+    let configuration = Configuration::load_at_start(path.as_deref())?;
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
         .format_timestamp_millis()
         .init();
@@ -48,120 +49,133 @@
         listen,
         discovery,
         seed,
-        max_descriptors: descriptors,
-        last_known_list: remembered,
+        max_descriptors,
+        last_known_list,
         startup,
-        warnings: remarks,
-        control_socket: control,
-        restart_only: fixed,
-    } = read;
-    remarks.iter().for_each(|remark| warn!("settings: {remark}"));
+        warnings,
+        control_socket,
+        restart_only,
+    } = configuration;
+    warnings.iter().for_each(|warning| warn!("settings: {warning}"));
     let clock = Clock::start();
-    // From here on the other process serves until it is told that its place is taken; a fault before leaves it serving.
-    let before = take_over.as_deref().map(Predecessor::request_handover).transpose()?;
-    let handed = before.as_ref().and_then(|b| known::read(&b.handover_state));
-    if before.is_some() && handed.is_none() {
-        warn!("what was handed on is of another version, and left aside");
+    // The predecessor serves until `confirm_takeover`; an error before that leaves it serving.
+    let predecessor = take_over.as_deref().map(Predecessor::request_handover).transpose()?;
+    let handed_over = predecessor.as_ref().and_then(|p| known::read(&p.handover_state));
+    if predecessor.is_some() && handed_over.is_none() {
+        warn!("the state handed over is of another version and is ignored");
     }
-    let newest = handed.as_ref().map_or(&remembered, |h| &h.list);
-    // What another build has written is bad input like any other.
-    let newest = if listing(newest, &startup.known.zones).is_ok() { newest } else { &remembered };
-    let mut reducer = Reducer::new(clock.now(), startup, seed, discovery, descriptors, newest);
-    if let Some(handed) = &handed {
-        reducer.take_up(clock.now(), handed);
+    let newest_list = handed_over.as_ref().map_or(&last_known_list, |h| &h.list);
+    // A list from another build is validated like any other input.
+    let newest_list =
+        if listing(newest_list, &startup.known.zones).is_ok() { newest_list } else { &last_known_list };
+    let mut reducer = Reducer::new(clock.now(), startup, seed, discovery, max_descriptors, newest_list);
+    if let Some(handed_over) = &handed_over {
+        reducer.take_up(clock.now(), handed_over);
     }
-    let (listener, predecessor) = match before {
-        Some(before) => {
-            let own = before.listener.local_addr().map_err(|e| format!("{listen}: {e}"))?;
-            if own != listen {
-                return Err(format!("the socket taken over is at {own}, and field 'listen' names {listen}"));
+    let (listener, retiring) = match predecessor {
+        Some(predecessor) => {
+            let bound = predecessor.listener.local_addr().map_err(|e| format!("{listen}: {e}"))?;
+            if bound != listen {
+                return Err(format!(
+                    "the socket taken over is bound to {bound}, but field 'listen' names {listen}"
+                ));
             }
-            // It does not block: that is shared with the process that opened it.
-            let (listener, predecessor) = before.confirm_takeover(leave_in)?;
-            (TcpListener::from_std(listener), Some(predecessor))
+            // It is non-blocking already: that flag is shared with the process that opened it.
+            let (listener, connection) = predecessor.confirm_takeover(leave_in)?;
+            (TcpListener::from_std(listener), Some(connection))
         }
-        None => (listener(listen)?, None),
+        None => (listening_socket(listen)?, None),
     };
-    let again = path.clone();
-    let renewed: ConfigurationReloader = Box::new(move |report| renew(path.as_deref(), &fixed, report));
-    let reloads = (signals.reload_wakeup, renewed);
-    let mut turn = EventLoop::new(clock, reducer, listener, signals.stop_wakeup, reloads)
+    let successor_config = path.clone();
+    let reloader: ConfigurationReloader =
+        Box::new(move |fault_logging| reload(path.as_deref(), &restart_only, fault_logging));
+    let reloads = (signals.reload_wakeup, reloader);
+    let mut event_loop = EventLoop::new(clock, reducer, listener, signals.stop_wakeup, reloads)
         .map_err(|e| format!("{listen}: {e}"))?;
-    turn.signal_flags = Some(signals.flags);
-    if let Some(predecessor) = predecessor {
-        turn.follow_predecessor(predecessor);
+    event_loop.signal_flags = Some(signals.flags);
+    if let Some(connection) = retiring {
+        event_loop.follow_predecessor(connection);
     }
-    turn.notifier = Notifier::from_environment();
+    event_loop.notifier = Notifier::from_environment();
     if take_over.is_some() {
-        turn.notifier.send(notify::Notification::MainPid);
+        event_loop.notifier.send(notify::Notification::MainPid);
     }
-    if let Some(control) = control {
-        match turn.open_control_socket(&control) {
-            // The place is taken by now: better to serve without it than not to serve.
-            Err(e) if take_over.is_some() => error!("control: {}: {e}", control.display()),
-            other => other.map_err(|e| format!("control: {}: {e}", control.display()))?,
+    if let Some(control_socket) = control_socket {
+        match event_loop.open_control_socket(&control_socket) {
+            // The predecessor has stopped accepting clients by now, so this process serves without a control socket.
+            Err(e) if take_over.is_some() => error!("control: {}: {e}", control_socket.display()),
+            other => other.map_err(|e| format!("control: {}: {e}", control_socket.display()))?,
         }
-        turn.start_successor = Some(Box::new(move |program| successor(program, again.as_deref(), &control)));
+        event_loop.start_successor = Some(Box::new(move |program| {
+            start_successor(program, successor_config.as_deref(), &control_socket)
+        }));
     }
-    info!("{name} serves on {listen}, with {descriptors} descriptors at most");
-    turn.run().map_err(|e| format!("the loop: {e}"))
+    info!("{name} serves on {listen}, with {max_descriptors} descriptors at most");
+    event_loop.run().map_err(|e| format!("event loop: {e}"))
 }
 
-/// Starts the process that takes this one's place, by the configuration as it is then.
-fn successor(program: Option<&str>, config: Option<&Path>, control: &Path) -> Result<Child, String> {
+/// Starts a process that takes over from this one. It reads the configuration file anew.
+fn start_successor(
+    program: Option<&str>,
+    config: Option<&Path>,
+    control_socket: &Path,
+) -> Result<Child, String> {
     let program = match program {
         Some(path) => PathBuf::from(path),
-        None => std::env::current_exe().map_err(|e| format!("this program's place: {e}"))?,
+        None => std::env::current_exe().map_err(|e| format!("path of this program: {e}"))?,
     };
     let mut command = Command::new(&program);
-    command.arg("serve").arg("--take-over").arg(control).stdin(Stdio::null());
+    command.arg("serve").arg("--take-over").arg(control_socket).stdin(Stdio::null());
     if let Some(path) = config {
         command.arg("--config").arg(path);
     }
     command.spawn().map_err(|e| format!("{}: {e}", program.display()))
 }
 
-/// The listening socket: the first that a service manager hands on, or one of our own.
-fn listener(at: SocketAddr) -> Result<TcpListener, String> {
-    let fault = |e| format!("{at}: {e}");
+/// The listening socket: the first one passed by the service manager in LISTEN_FDS, otherwise a new one.
+fn listening_socket(address: SocketAddr) -> Result<TcpListener, String> {
+    let error_text = |e| format!("{address}: {e}");
     let inherited = listenfd::ListenFd::from_env().take_tcp_listener(0);
-    match inherited.map_err(|e| format!("LISTEN_FDS: the socket handed on is not understood: {e}"))? {
+    match inherited.map_err(|e| format!("LISTEN_FDS: the inherited socket can't be used: {e}"))? {
         Some(socket) => {
-            let own = socket.local_addr().map_err(|e| format!("LISTEN_FDS: {e}"))?;
-            if own != at {
+            let bound = socket.local_addr().map_err(|e| format!("LISTEN_FDS: {e}"))?;
+            if bound != address {
                 return Err(format!(
-                    "LISTEN_FDS: the socket handed on is at {own}, and field 'listen' names {at}"
+                    "LISTEN_FDS: the inherited socket is bound to {bound}, but field 'listen' names {address}"
                 ));
             }
-            socket.set_nonblocking(true).map_err(fault)?;
+            socket.set_nonblocking(true).map_err(error_text)?;
             Ok(TcpListener::from_std(socket))
         }
-        None => persist(|| TcpListener::bind(at)).map_err(fault),
+        None => persist(|| TcpListener::bind(address)).map_err(error_text),
     }
 }
 
-/// Reads the configuration again; a faulty one changes nothing.
-fn renew(
+/// Reads the configuration again and returns the values that can change. An invalid configuration is ignored.
+fn reload(
     path: Option<&Path>,
     running: &RestartOnlySettings,
-    report: FaultLogging,
+    fault_logging: FaultLogging,
 ) -> Option<(SocketAddr, usize)> {
-    let read = match Configuration::load(path) {
-        Ok(read) => read,
-        Err(fault) => {
-            if report == FaultLogging::On {
-                error!("the new configuration is left aside, as it is faulty: {fault}");
+    let new = match Configuration::load(path) {
+        Ok(new) => new,
+        Err(error) => {
+            if fault_logging == FaultLogging::On {
+                error!("the new configuration is invalid and is ignored: {error}");
             }
             return None;
         }
     };
-    let kept = running.differing_keys(&read.restart_only);
-    if !kept.is_empty() {
-        warn!("the new configuration: {} can change at a restart only, and stays", kept.join(", "));
+    let unchanged = running.differing_keys(&new.restart_only);
+    if !unchanged.is_empty() {
+        warn!(
+            "the new configuration: {} can change only at a restart and keeps its old value",
+            unchanged.join(", ")
+        );
     }
     info!(
-        "the new configuration holds: discovery {}, {} descriptors at most",
-        read.discovery, read.max_descriptors
+        "the new configuration is in force: discovery {}, {} descriptors at most",
+        new.discovery, new.max_descriptors
     );
-    Some((read.discovery, read.max_descriptors))
+    Some((new.discovery, new.max_descriptors))
 }
