--- a/crates/dewhead-proxy/src/control/client.rs
+++ b/crates/dewhead-proxy/src/control/client.rs
@@ -1,4 +1,4 @@
-//! Asking a running proxy, for `dewhead ctl`.
+//! Client side of the control socket, for `dewhead ctl`.
 
 use super::protocol;
 use crate::transient::persist;
@@ -8,60 +8,70 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A proxy that says nothing for so long is not waited for.
+/// Longest wait for a read or write on the control socket of another process.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks, and returns the answer; a fault that the proxy tells is an error.
+/// Sends a request and returns the response.
+///
+/// # Errors
+///
+/// The fault that the proxy responded with, or one line that names the socket: no process answers there, or its response
+/// is not valid.
 pub fn send_request(
     socket: &Path,
     action: &str,
     seconds: Option<f64>,
     program: Option<&str>,
 ) -> Result<Value, String> {
-    let fault = |e: std::io::Error| format!("{}: {e}", socket.display());
-    let mut stream = persist(|| UnixStream::connect(socket)).map_err(fault)?;
-    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(fault)?;
-    stream.set_write_timeout(Some(RESPONSE_TIMEOUT)).map_err(fault)?;
-    stream.write_all(protocol::format_request(action, seconds, program).as_bytes()).map_err(fault)?;
+    let error_text = |e: std::io::Error| format!("{}: {e}", socket.display());
+    let mut stream = persist(|| UnixStream::connect(socket)).map_err(error_text)?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(error_text)?;
+    stream.set_write_timeout(Some(RESPONSE_TIMEOUT)).map_err(error_text)?;
+    stream.write_all(protocol::format_request(action, seconds, program).as_bytes()).map_err(error_text)?;
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).map_err(fault)?;
+    BufReader::new(stream).read_line(&mut line).map_err(error_text)?;
     parse_response(socket, &line)
 }
 
-/// An answer that says well; a fault that the proxy tells is an error.
+/// Parses a response line. A fault in the response is returned as an error.
 pub(super) fn parse_response(socket: &Path, line: &str) -> Result<Value, String> {
-    let answer: Value = serde_json::from_str(line)
-        .map_err(|_| format!("{}: the answer is not understood: '{}'", socket.display(), line.trim_end()))?;
-    match answer["version"].as_u64() {
+    let response: Value = serde_json::from_str(line).map_err(|_| {
+        format!("{}: the response is not valid JSON: '{}'", socket.display(), line.trim_end())
+    })?;
+    match response["version"].as_u64() {
         Some(protocol::VERSION) => {}
-        _ => return Err(format!("{}: it speaks another version", socket.display())),
+        _ => return Err(format!("{}: the response is of another protocol version", socket.display())),
     }
-    if answer["ok"] != true {
-        return Err(answer["fault"].as_str().unwrap_or("refused, without a reason").to_owned());
+    if response["ok"] != true {
+        return Err(response["fault"].as_str().unwrap_or("refused without a reason").to_owned());
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// An answer for people: a field a line, lists as tables.
-pub fn format_plain_text(answer: &Value) -> String {
+/// Formats a response for people: one field per line, arrays as tables.
+pub fn format_plain_text(response: &Value) -> String {
     let mut text = String::new();
-    for (name, value) in answer.as_object().into_iter().flatten() {
+    for (name, value) in response.as_object().into_iter().flatten() {
         match value {
             _ if name == "ok" || name == "version" => {}
             Value::Array(rows) => {
                 text += &format!("{name}:\n");
                 for row in rows {
-                    let cells =
-                        row.as_object().into_iter().flatten().map(|(n, v)| format!("{n} {}", bare(v)));
+                    let cells = row
+                        .as_object()
+                        .into_iter()
+                        .flatten()
+                        .map(|(n, v)| format!("{n} {}", format_scalar(v)));
                     text += &format!("  {}\n", cells.collect::<Vec<_>>().join("  "));
                 }
             }
-            value => text += &format!("{name}: {}\n", bare(value)),
+            value => text += &format!("{name}: {}\n", format_scalar(value)),
         }
     }
     text
 }
 
-fn bare(value: &Value) -> String {
+/// Strings without quotes, other values as JSON.
+fn format_scalar(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/crates/dewhead-proxy/src/control/protocol.rs
+++ b/crates/dewhead-proxy/src/control/protocol.rs
@@ -1,37 +1,47 @@
-//! What is said on the control socket. Pure functions, with no socket.
+//! Requests and responses of the control socket, parsed and formatted without I/O.
 
 use serde_json::{json, Value};
 
-/// The version of requests and answers; one that is not known is refused.
+/// Version of the protocol. Requests of another version are refused.
 pub const VERSION: u64 = 1;
 
+/// A request, given by the text in its field `do`.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Request {
+    /// `status`: the stage, the counters and the server list.
     Status,
+    /// `connections`: the open sessions, up to 1000 of them.
     Connections,
-    /// Send all clients away over so many seconds, and take no new ones from fronts.
+    /// `drain`: move all clients away over this time in seconds, and accept no new ones from fronts.
     Drain(Option<f64>),
+    /// `undrain`: end the drain.
     Undrain,
+    /// `reload`: read the configuration again.
     Reload,
-    /// Start another process that takes this one's place; from whom that comes, the path of its program.
+    /// `handover`: start a successor, from the program at this path.
     Handover(Option<String>),
-    /// From that process: to be given the listening socket and what was learned; then that it is ready, and over how
-    /// many seconds the standing clients leave.
+    /// `succeed`, from a successor: send the listening socket and the learned state.
     TakeOver,
+    /// `succeeded`, from the successor: it is ready. This process moves its clients away over this time in seconds.
     TakenOver(Option<f64>),
-    /// From that process, once it has taken the place: a signal has told it to stop, and so both do.
+    /// `stop`, from the successor after it has taken over: it received a signal to stop, and this process stops, too.
     Stop,
 }
 
-/// The longest time over which a drain can be spread, in seconds.
-const LONGEST_SPREAD: f64 = 3600.0;
+/// Longest time over which clients can be moved away, in seconds.
+const MAX_SPREAD_SECONDS: f64 = 3600.0;
 
-/// Reads a request; a fault is one line that says what is wrong.
+/// Parses a request line.
+///
+/// # Errors
+///
+/// One line that names the faulty field.
 pub fn parse_request(line: &str) -> Result<Request, String> {
-    let value: Value = serde_json::from_str(line).map_err(|_| "a request is one line of JSON".to_owned())?;
+    let value: Value =
+        serde_json::from_str(line).map_err(|_| "a request must be one line of JSON".to_owned())?;
     let version = value.get("version").and_then(Value::as_u64).unwrap_or(VERSION);
     if version != VERSION {
-        return Err(format!("version {version} is not spoken here, {VERSION} is"));
+        return Err(format!("version {version} is not supported, only {VERSION}"));
     }
     match value.get("do").and_then(Value::as_str) {
         Some("status") => Ok(Request::Status),
@@ -52,17 +62,18 @@
     }
 }
 
-fn seconds(of: &Value) -> Result<Option<f64>, String> {
-    match of.get("seconds") {
+/// Reads the optional field `seconds`.
+fn seconds(request: &Value) -> Result<Option<f64>, String> {
+    match request.get("seconds") {
         None | Some(Value::Null) => Ok(None),
-        Some(told) => match told.as_f64().filter(|s| (0.0..=LONGEST_SPREAD).contains(s)) {
+        Some(value) => match value.as_f64().filter(|s| (0.0..=MAX_SPREAD_SECONDS).contains(s)) {
             Some(seconds) => Ok(Some(seconds)),
-            None => Err(format!("field 'seconds' is not a number from 0 to {LONGEST_SPREAD}")),
+            None => Err(format!("field 'seconds' is not a number from 0 to {MAX_SPREAD_SECONDS}")),
         },
     }
 }
 
-/// A request as the command line sends it.
+/// Formats a request line.
 pub fn format_request(action: &str, seconds: Option<f64>, program: Option<&str>) -> String {
     let mut value = json!({"version": VERSION, "do": action});
     if let Some(seconds) = seconds {
@@ -74,7 +85,7 @@
     format!("{value}\n")
 }
 
-/// An answer: what was asked for, or what is wrong.
+/// Formats a response line: the result with `ok: true`, or the fault with `ok: false`.
 pub fn format_response(outcome: Result<Value, String>) -> String {
     let mut value = match outcome {
         Ok(value) => value,
