--- a/crates/dewhead-proxy/src/control/predecessor.rs
+++ b/crates/dewhead-proxy/src/control/predecessor.rs
@@ -1,5 +1,6 @@
-//! The process whose place this one takes: asked for its listening socket and for what it has learned, and followed until
-//! it has ended. It may go on for a minute with clients of its own, and hears of a stop through this process alone.
+//! The process that this one takes over from. It is asked for its listening socket and its learned state, and its
+//! connection is watched until it ends. It may still serve its own clients for a minute, and a supervisor that knows only
+//! this process sends its stop signal only here, so this process passes it on.
 
 use super::client::{parse_response, RESPONSE_TIMEOUT};
 use super::protocol;
@@ -13,122 +14,126 @@
 use std::os::unix::net::UnixStream as BlockingUnixStream;
 use std::path::{Path, PathBuf};
 
-/// The most that is read of what was learned, in bytes.
-const MOST_HANDED: usize = 64 << 20;
+/// Longest response with the learned state that is read.
+const MAX_HANDOVER_BYTES: usize = 64 << 20;
 
-/// The running process's side of a succession: the listening socket and what it has learned are had, and it serves on
-/// until it is told `succeeded`. Dropped before that, nothing has changed.
+/// A running process that has sent its listening socket and its learned state. It serves on until `confirm_takeover`; if
+/// this value is dropped before that, nothing changes there.
 pub struct Predecessor {
     stream: BufReader<BlockingUnixStream>,
     socket: PathBuf,
+    /// The listening socket, shared with the predecessor.
     pub listener: std::net::TcpListener,
+    /// The learned state, as `memory::known` reads it; null if the response has none.
     pub handover_state: Value,
 }
 
 impl Predecessor {
-    /// Asks the process at this control socket for its listening socket.
+    /// Requests the listening socket and the learned state from the process at this control socket.
     ///
     /// # Errors
     ///
-    /// One line that names the socket: nobody answers there, or the process hands nothing on.
+    /// One line that names the socket: no process answers there, or the process hands nothing over.
     pub fn request_handover(socket: &Path) -> Result<Predecessor, String> {
-        let fault = |e: io::Error| format!("{}: {e}", socket.display());
-        let mut stream = persist(|| BlockingUnixStream::connect(socket)).map_err(fault)?;
-        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(fault)?;
-        stream.write_all(protocol::format_request("succeed", None, None).as_bytes()).map_err(fault)?;
+        let error_text = |e: io::Error| format!("{}: {e}", socket.display());
+        let mut stream = persist(|| BlockingUnixStream::connect(socket)).map_err(error_text)?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(error_text)?;
+        stream.write_all(protocol::format_request("succeed", None, None).as_bytes()).map_err(error_text)?;
         let mut listener = None;
-        let mut said: Vec<u8> = Vec::new();
-        let mut some = vec![0; 64 << 10];
-        while !said.contains(&b'\n') {
+        let mut received: Vec<u8> = Vec::new();
+        let mut buffer = vec![0; 64 << 10];
+        while !received.contains(&b'\n') {
             let mut space = [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-            let mut control = RecvAncillaryBuffer::new(&mut space);
-            let mut parts = [IoSliceMut::new(&mut some)];
-            let got = match recvmsg(&stream, &mut parts, &mut control, RecvFlags::CMSG_CLOEXEC) {
-                // A signal; what it asks for is done once the loop runs.
+            let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+            let mut parts = [IoSliceMut::new(&mut buffer)];
+            let count = match recvmsg(&stream, &mut parts, &mut ancillary, RecvFlags::CMSG_CLOEXEC) {
+                // A signal arrived; its flag is checked once the event loop runs.
                 Err(Errno::INTR) => continue,
-                other => other.map_err(|e| fault(e.into()))?.bytes,
+                other => other.map_err(|e| error_text(e.into()))?.bytes,
             };
-            for message in control.drain() {
+            for message in ancillary.drain() {
                 if let RecvAncillaryMessage::ScmRights(sockets) = message {
                     listener = sockets.map(std::net::TcpListener::from).last().or(listener);
                 }
             }
-            if got == 0 || said.len() > MOST_HANDED {
-                return Err(format!("{}: it hung up before it had handed on all", socket.display()));
+            if count == 0 || received.len() > MAX_HANDOVER_BYTES {
+                return Err(format!("{}: the handover is incomplete or too long", socket.display()));
             }
-            said.extend_from_slice(&some[..got]);
+            received.extend_from_slice(&buffer[..count]);
         }
-        let answer = parse_response(socket, String::from_utf8_lossy(&said).trim_end())?;
-        let listener = listener.ok_or_else(|| format!("{}: it handed on no socket", socket.display()))?;
+        let response = parse_response(socket, String::from_utf8_lossy(&received).trim_end())?;
+        let listener = listener
+            .ok_or_else(|| format!("{}: the handover contains no listening socket", socket.display()))?;
         let (stream, socket) = (BufReader::new(stream), socket.to_owned());
-        Ok(Predecessor { stream, socket, listener, handover_state: answer["handed"].clone() })
+        Ok(Predecessor { stream, socket, listener, handover_state: response["handed"].clone() })
     }
 
-    /// Tells it that its place is taken; once that is answered it accepts no more.
+    /// Reports to the predecessor that this process has taken over. Once it responds, it accepts no more clients and moves its
+    /// own away over `seconds`. Returns the listening socket and the connection to the predecessor.
     ///
     /// # Errors
     ///
-    /// One line that names the socket: the process has gone, or has been told to stop meanwhile.
+    /// One line: the predecessor has ended, which names the socket, or it was asked to stop in the meantime.
     pub fn confirm_takeover(
         mut self,
         seconds: Option<f64>,
     ) -> Result<(std::net::TcpListener, BlockingUnixStream), String> {
-        let fault = |e: io::Error| format!("{}: {e}", self.socket.display());
+        let error_text = |e: io::Error| format!("{}: {e}", self.socket.display());
         self.stream
             .get_mut()
             .write_all(protocol::format_request("succeeded", seconds, None).as_bytes())
-            .map_err(fault)?;
+            .map_err(error_text)?;
         let mut line = String::new();
-        self.stream.read_line(&mut line).map_err(fault)?;
+        self.stream.read_line(&mut line).map_err(error_text)?;
         parse_response(&self.socket, &line)?;
         Ok((self.listener, self.stream.into_inner()))
     }
 }
 
-/// A predecessor that still sends its clients away, as the loop follows it: its end closes the connection.
+/// A predecessor that still moves its clients away. The connection to it is closed when it ends.
 pub struct RetiringPredecessor {
     stream: UnixStream,
-    /// What is still to be written.
-    waiting: Vec<u8>,
+    /// Bytes that are not written yet.
+    unsent: Vec<u8>,
 }
 
 impl RetiringPredecessor {
-    /// Follows it on the connection on which its place was taken.
+    /// Watches the predecessor on the connection over which this process took over.
     ///
     /// # Errors
     ///
-    /// The connection can't be watched.
+    /// The connection can't be registered with the poll.
     pub fn follow(stream: BlockingUnixStream, registry: &Registry, token: Token) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         let mut stream = UnixStream::from_std(stream);
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        Ok(RetiringPredecessor { stream, waiting: Vec::new() })
+        Ok(RetiringPredecessor { stream, unsent: Vec::new() })
     }
 
-    /// Tells it to stop in the time that a signal leaves.
+    /// Requests the predecessor to stop, within the time that a stop by a signal takes.
     pub fn stop(&mut self) {
-        self.waiting.extend_from_slice(protocol::format_request("stop", None, None).as_bytes());
+        self.unsent.extend_from_slice(protocol::format_request("stop", None, None).as_bytes());
         self.flush();
     }
 
-    /// Writes what waits, until the socket takes no more.
+    /// Writes the unsent bytes, until the socket accepts no more.
     pub fn flush(&mut self) {
-        while !self.waiting.is_empty() {
-            match self.stream.write(&self.waiting) {
-                Ok(written) if written > 0 => _ = self.waiting.drain(..written),
+        while !self.unsent.is_empty() {
+            match self.stream.write(&self.unsent) {
+                Ok(written) if written > 0 => _ = self.unsent.drain(..written),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // It has ended; the read finds that.
-                _ => return self.waiting.clear(),
+                // The predecessor has ended, which `has_ended` detects by reading.
+                _ => return self.unsent.clear(),
             }
         }
     }
 
-    /// Whether the process has ended. Its answers change nothing here.
+    /// Reads and ignores responses; whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
-        let mut answer = [0; 1024];
+        let mut response = [0; 1024];
         loop {
-            match self.stream.read(&mut answer) {
+            match self.stream.read(&mut response) {
                 Ok(0) => return true,
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/dewhead-proxy/src/control/socket.rs
+++ b/crates/dewhead-proxy/src/control/socket.rs
@@ -1,5 +1,5 @@
-//! The control socket's side of the loop: a Unix socket that only its owner can open, a few visitors at a time, each
-//! with a bounded line.
+//! Server side of the control socket in the event loop: a Unix socket that only its owner can open, with a limit on the
+//! number of connections and on the length of a request.
 
 use mio::net::{UnixListener, UnixStream};
 use mio::{Interest, Registry, Token};
@@ -9,43 +9,52 @@
 use std::os::fd::BorrowedFd;
 use std::path::{Path, PathBuf};
 
-/// Visitors at a time; more are hung up on.
-const VISITORS: usize = 4;
-const LONGEST_LINE: usize = 4096;
-/// Tokens are taken from the top, where no end's slot reaches.
+/// Most connections at a time; further ones are closed at once.
+const MAX_CONNECTIONS: usize = 4;
+/// Most bytes of a connection that are not processed yet, and so the longest request line.
+const MAX_LINE_BYTES: usize = 4096;
+/// Tokens are assigned from the top, out of reach of the tokens of session slots.
 const LISTENER: Token = Token(usize::MAX - 1);
-const FIRST: usize = usize::MAX - 2;
+/// Token of the first connection; those of further connections follow downwards.
+const FIRST_CONNECTION: usize = usize::MAX - 2;
 
-struct Visitor {
+/// A connection of an operator or of a successor.
+struct Connection {
     socket: UnixStream,
-    said: Vec<u8>,
-    out: Vec<u8>,
-    /// Hung up on once it has its answer.
-    leaving: bool,
+    /// Bytes of an incomplete request.
+    received: Vec<u8>,
+    /// Bytes of responses that are not written yet.
+    unsent: Vec<u8>,
+    /// To be closed once all responses are written.
+    closing: bool,
 }
 
+/// The listening control socket and its connections.
 pub struct ControlSocket {
     listener: UnixListener,
-    /// The socket's file, while it is this process's.
+    /// Path of the socket's file; none once the file is removed for a successor.
     path: Option<PathBuf>,
-    /// A visitor's place is given back when it hangs up, or when it says more than a line may be long.
-    visitors: [Option<Visitor>; VISITORS],
+    /// A slot is free again once the peer has closed the connection, or has sent a line that is too long.
+    connections: [Option<Connection>; MAX_CONNECTIONS],
 }
 
 impl ControlSocket {
-    /// Opens the socket, readable and writable by its owner alone. One that a dead process has left is taken over; one
-    /// that is answered is another process's, and an error.
+    /// Opens the socket, readable and writable by its owner only. The file of a process that has ended is replaced.
+    ///
+    /// # Errors
+    ///
+    /// The socket can't be opened, or another process accepts connections on it.
     pub fn open(path: &Path, registry: &Registry) -> io::Result<ControlSocket> {
         let bind = || {
-            let before = rustix::process::umask(rustix::fs::Mode::from_bits_truncate(0o177));
+            let previous_mask = rustix::process::umask(rustix::fs::Mode::from_bits_truncate(0o177));
             let bound = UnixListener::bind(path);
-            rustix::process::umask(before);
+            rustix::process::umask(previous_mask);
             bound
         };
         let mut listener = match bind() {
             Err(e) if e.kind() == io::ErrorKind::AddrInUse => {
                 if std::os::unix::net::UnixStream::connect(path).is_ok() {
-                    return Err(io::Error::new(e.kind(), "another process answers there"));
+                    return Err(io::Error::new(e.kind(), "another process serves this socket"));
                 }
                 std::fs::remove_file(path)?;
                 bind()?
@@ -53,19 +62,21 @@
             other => other?,
         };
         registry.register(&mut listener, LISTENER, Interest::READABLE)?;
-        Ok(ControlSocket { listener, path: Some(path.to_owned()), visitors: [None, None, None, None] })
+        Ok(ControlSocket { listener, path: Some(path.to_owned()), connections: [None, None, None, None] })
     }
 
-    /// Which visitor a token is; the listener is none of them.
+    /// Maps a token to the slot of its connection: `Some(None)` is the listener, `None` is no token of the control socket.
     pub fn connection_of(token: Token) -> Option<Option<usize>> {
         match token {
             LISTENER => Some(None),
-            Token(at) if at <= FIRST && at > FIRST - VISITORS => Some(Some(FIRST - at)),
+            Token(at) if at <= FIRST_CONNECTION && at > FIRST_CONNECTION - MAX_CONNECTIONS => {
+                Some(Some(FIRST_CONNECTION - at))
+            }
             _ => None,
         }
     }
 
-    /// Takes visitors in; false where accepting failed, and somebody may wait still.
+    /// Accepts connections. Returns false if that failed, so that connections may still be pending.
     pub fn accept(&mut self, registry: &Registry) -> bool {
         loop {
             let mut socket = match self.listener.accept() {
@@ -73,27 +84,27 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
                 Err(_) => return false,
             };
-            // With no place free it is dropped, and so hung up on.
-            if let Some(place) = self.visitors.iter().position(Option::is_none) {
-                let token = Token(FIRST - place);
+            // Without a free slot the connection is dropped, which closes it.
+            if let Some(slot) = self.connections.iter().position(Option::is_none) {
+                let token = Token(FIRST_CONNECTION - slot);
                 if registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE).is_ok() {
-                    self.visitors[place] =
-                        Some(Visitor { socket, said: Vec::new(), out: Vec::new(), leaving: false });
+                    self.connections[slot] =
+                        Some(Connection { socket, received: Vec::new(), unsent: Vec::new(), closing: false });
                 }
             }
         }
     }
 
-    /// What a visitor has asked by now, line by line.
-    pub fn read_lines(&mut self, place: usize) -> Vec<String> {
-        let Some(visitor) = &mut self.visitors[place] else { return Vec::new() };
-        let mut some = [0; 1024];
+    /// Reads from a connection and returns the complete lines.
+    pub fn read_lines(&mut self, slot: usize) -> Vec<String> {
+        let Some(connection) = &mut self.connections[slot] else { return Vec::new() };
+        let mut buffer = [0; 1024];
         let mut ended = false;
         loop {
-            match visitor.socket.read(&mut some) {
+            match connection.socket.read(&mut buffer) {
                 Ok(0) => ended = true,
-                Ok(n) if visitor.said.len() + n <= LONGEST_LINE => {
-                    visitor.said.extend_from_slice(&some[..n]);
+                Ok(n) if connection.received.len() + n <= MAX_LINE_BYTES => {
+                    connection.received.extend_from_slice(&buffer[..n]);
                     continue;
                 }
                 Ok(_) => ended = true,
@@ -103,72 +114,77 @@
             }
             break;
         }
-        let mut asked = Vec::new();
-        while let Some(end) = visitor.said.iter().position(|b| *b == b'\n') {
-            let line: Vec<u8> = visitor.said.drain(..=end).collect();
-            asked.push(String::from_utf8_lossy(&line).trim_end().to_owned());
+        let mut lines = Vec::new();
+        while let Some(end) = connection.received.iter().position(|b| *b == b'\n') {
+            let line: Vec<u8> = connection.received.drain(..=end).collect();
+            lines.push(String::from_utf8_lossy(&line).trim_end().to_owned());
         }
-        if ended && asked.is_empty() && visitor.out.is_empty() {
-            self.visitors[place] = None;
+        if ended && lines.is_empty() && connection.unsent.is_empty() {
+            self.connections[slot] = None;
         } else if ended {
-            visitor.leaving = true;
+            connection.closing = true;
         }
-        asked
+        lines
     }
 
-    pub fn send_response(&mut self, place: usize, text: &str) {
-        if let Some(visitor) = &mut self.visitors[place] {
-            visitor.out.extend_from_slice(text.as_bytes());
-            self.flush(place);
+    /// Sends a response. Bytes that the socket does not accept yet are written later.
+    pub fn send_response(&mut self, slot: usize, text: &str) {
+        if let Some(connection) = &mut self.connections[slot] {
+            connection.unsent.extend_from_slice(text.as_bytes());
+            self.flush(slot);
         }
     }
 
-    /// Answers, and hands a descriptor over with it.
+    /// Sends a response and passes a descriptor with it.
+    ///
+    /// # Errors
+    ///
+    /// Neither the descriptor nor the response was sent.
     pub fn send_response_with_descriptor(
         &mut self,
-        place: usize,
+        slot: usize,
         text: &str,
-        handed: BorrowedFd,
+        descriptor: BorrowedFd,
     ) -> io::Result<()> {
-        let Some(visitor) = &mut self.visitors[place] else { return Ok(()) };
+        let Some(connection) = &mut self.connections[slot] else { return Ok(()) };
         let mut space = [std::mem::MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut control = SendAncillaryBuffer::new(&mut space);
-        let handed = [handed];
-        control.push(SendAncillaryMessage::ScmRights(&handed));
+        let mut ancillary = SendAncillaryBuffer::new(&mut space);
+        let descriptors = [descriptor];
+        ancillary.push(SendAncillaryMessage::ScmRights(&descriptors));
         let parts = [IoSlice::new(text.as_bytes())];
-        let gone = loop {
-            match sendmsg(&visitor.socket, &parts, &mut control, SendFlags::NOSIGNAL) {
+        let sent = loop {
+            match sendmsg(&connection.socket, &parts, &mut ancillary, SendFlags::NOSIGNAL) {
                 Err(Errno::INTR) => {}
                 other => break other?,
             }
         };
-        visitor.out.extend_from_slice(&text.as_bytes()[gone..]);
+        connection.unsent.extend_from_slice(&text.as_bytes()[sent..]);
         Ok(())
     }
 
-    /// Whether somebody is at this place still.
-    pub fn is_open(&self, place: usize) -> bool {
-        self.visitors[place].as_ref().is_some_and(|v| !v.leaving)
+    /// Whether the connection at this slot is still open.
+    pub fn is_open(&self, slot: usize) -> bool {
+        self.connections[slot].as_ref().is_some_and(|c| !c.closing)
     }
 
-    /// Takes in nobody new, and leaves the socket's file to who comes after.
+    /// Stops accepting connections and removes the socket's file, so that the successor can create its own.
     pub fn close_listener(&mut self, registry: &Registry) {
-        // One that can't be taken out of the poll is dropped with the rest.
+        // A listener that can't be deregistered is closed with the process.
         let _ = registry.deregister(&mut self.listener);
         if let Some(path) = self.path.take() {
-            // Taken away already, it needs no taking away.
+            // The file may be gone already.
             let _ = std::fs::remove_file(path);
         }
     }
 
-    /// Writes what waits; a visitor that has gone is forgotten.
-    pub fn flush(&mut self, place: usize) {
-        let Some(visitor) = &mut self.visitors[place] else { return };
-        let mut gone = 0;
+    /// Writes unsent bytes. A connection that is broken, or closing and fully written, is dropped.
+    pub fn flush(&mut self, slot: usize) {
+        let Some(connection) = &mut self.connections[slot] else { return };
+        let mut sent = 0;
         let mut broken = false;
-        while gone < visitor.out.len() {
-            match visitor.socket.write(&visitor.out[gone..]) {
-                Ok(n) if n > 0 => gone += n,
+        while sent < connection.unsent.len() {
+            match connection.socket.write(&connection.unsent[sent..]) {
+                Ok(n) if n > 0 => sent += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 _ => {
@@ -177,18 +193,18 @@
                 }
             }
         }
-        visitor.out.drain(..gone);
-        if broken || visitor.leaving && visitor.out.is_empty() {
-            self.visitors[place] = None;
+        connection.unsent.drain(..sent);
+        if broken || connection.closing && connection.unsent.is_empty() {
+            self.connections[slot] = None;
         }
     }
 }
 
 impl Drop for ControlSocket {
-    /// The socket's file goes with its process.
+    /// Removes the socket's file.
     fn drop(&mut self) {
         if let Some(path) = &self.path {
-            // Where it was taken away already there is nothing to do.
+            // The file may be gone already.
             let _ = std::fs::remove_file(path);
         }
     }
