--- a/crates/dewhead-proxy/src/control/predecessor.rs
+++ b/crates/dewhead-proxy/src/control/predecessor.rs
@@ -24,7 +24,7 @@
     socket: PathBuf,
     /// The listening socket, shared with the predecessor.
     pub listener: std::net::TcpListener,
-    /// The learned state, as `memory::known` reads it; null if the response has none.
+    /// The learned state of the predecessor; null if the response has none.
     pub handover_state: Value,
 }
 
--- a/crates/dewhead-proxy/src/event_loop.rs
+++ b/crates/dewhead-proxy/src/event_loop.rs
@@ -1,5 +1,6 @@
-//! The loop: what the sockets have becomes events, and effects become reads and writes. One clock read a turn, and
-//! discovery's events before all others.
+//! The event loop: socket readiness becomes events for the reducer, and the reducer's effects become reads and writes.
+//!
+//! All events of one iteration get the same time, and discovery's data is processed before all other sockets.
 
 mod accept;
 mod control;
@@ -24,226 +25,241 @@
 use std::time::Duration;
 
 const LISTENER: Token = Token(0);
-const SIGNALS: Token = Token(1);
+const STOP_WAKEUP: Token = Token(1);
 const WATCH: Token = Token(2);
-const RENEWALS: Token = Token(3);
+const RELOAD_WAKEUP: Token = Token(3);
 const PREDECESSOR: Token = Token(4);
-/// Tokens of ends begin here.
-const FIRST: usize = 5;
-/// As much is read at a time, and as much may wait for one socket at the most, but for a word of our own.
-const READ: usize = 8192;
-/// One socket is read so often before the others have their turn.
-const READS: usize = 8;
-/// So much is taken from one poll at the most.
-const BATCH: usize = 1024;
-/// Timers wait for sockets that still have something to say, but for no more batches than this.
-const MOST_UNTICKED: u32 = 16;
-/// A configuration that is being written when the signal comes is whole a moment later. It is read again after this, for
-/// so long: a new address of discovery counts four seconds after the signal.
-const REREAD_PAUSE: f64 = 0.1;
-const REREAD_FOR: f64 = 3.0;
-
-/// Reads the configuration again, and says in the log what is wrong with it unless told to be quiet. What of it changes
-/// while the proxy runs, as `Event::Renewed` has it; none while it can't be read.
+/// First token of the client and server sockets of sessions.
+const FIRST_SESSION_TOKEN: usize = 5;
+/// Size of one read. It also bounds the bytes buffered for one socket, apart from messages of the proxy itself, as nothing
+/// is read from one side while the other side has unsent bytes.
+const READ_BUFFER_BYTES: usize = 8192;
+/// Reads from one socket before the other sockets are served.
+const MAX_READS_PER_SOCKET: usize = 8;
+/// Most events taken from one poll.
+const MAX_POLL_EVENTS: usize = 1024;
+/// Timers wait until a poll returns fewer than `MAX_POLL_EVENTS` events, but for no more polls than this.
+const MAX_POLLS_WITHOUT_TICK: u32 = 16;
+/// A configuration file that is still being written when SIGHUP arrives can't be parsed, but is complete a moment later.
+/// It is read again at this interval until the limit: a new address of discovery must be in use 4 s after the signal.
+const RELOAD_RETRY_SECONDS: f64 = 0.1;
+const RELOAD_RETRY_LIMIT_SECONDS: f64 = 3.0;
+
+/// Reads the configuration again and returns the values that can change at run time, the address of discovery and the
+/// most descriptors; none if the configuration is invalid.
 pub type ConfigurationReloader = Box<dyn FnMut(FaultLogging) -> Option<(SocketAddr, usize)>>;
 
-/// Whether a fault in the configuration is told in the log.
+/// Whether errors in the configuration are logged.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FaultLogging {
     On,
     Off,
 }
 
-/// A configuration that could not be read, and is read again.
+/// Retries of a reload that failed, as times of the loop's clock.
 #[derive(Clone, Copy)]
-struct Reread {
-    /// When next, and until when.
-    at: f64,
+struct ReloadRetry {
+    next_at: f64,
     until: f64,
 }
 
-/// How far another process has come with taking this one's place, by its place at the control socket.
+/// Progress of a handover to a successor. The values are the slots of its connection to the control socket.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Succession {
+enum SuccessorState {
     None,
-    /// It has been given the listening socket, and gets ready.
+    /// It has received the listening socket and is starting.
     Offered(usize),
-    /// It serves; this process retires.
-    Taken(usize),
+    /// It serves, and this process retires.
+    TookOver(usize),
 }
 
-/// Starts a program that takes this process's place, by its path or this one's own.
+/// Starts a successor process, from the program at the given path or from this process's program.
 pub type SuccessorStarter = Box<dyn FnMut(Option<&str>) -> Result<std::process::Child, String>>;
 
+/// The event loop with all sockets of the process.
 pub struct EventLoop {
     poll: Poll,
     clock: Clock,
     reducer: Reducer,
-    /// None once another process has taken this one's place.
+    /// None once a successor has taken over.
     listener: Option<TcpListener>,
-    /// A byte comes here for each signal to stop, and there for each to read the configuration again.
-    signals: UnixStream,
-    renewals: UnixStream,
-    /// Whether signals to stop and to read it again have come. Without flags the bytes alone tell.
+    /// Sockets that receive a byte for each signal to stop, and for each signal to reload.
+    stop_wakeup: UnixStream,
+    reload_wakeup: UnixStream,
+    /// Flags that the signal handlers set. Without them the bytes alone signal a stop or a reload.
     pub signal_flags: Option<SignalFlags>,
-    /// Reads it; none if it is faulty and nothing changes.
-    renewed: ConfigurationReloader,
-    reread: Option<Reread>,
-    /// The stage that the process is in, who is told of it, and where operators ask.
-    life: StageMachine,
+    reloader: ConfigurationReloader,
+    reload_retry: Option<ReloadRetry>,
+    /// The stage of the process, the notifier to the service manager and the control socket.
+    stages: StageMachine,
     pub notifier: Notifier,
     control_socket: Option<ControlSocket>,
-    /// Somebody may wait at the control socket; from when on that is looked at again.
-    let_in_from: Option<f64>,
-    /// Starts a process to take this one's place; the one that was started, until it is known what became of it; and
-    /// how far a process has come with taking it.
+    /// When to accept on the control socket again after a failure.
+    control_accept_at: Option<f64>,
+    /// Starts a successor; none if this process can't start one.
     pub start_successor: Option<SuccessorStarter>,
-    child: Option<std::process::Child>,
-    succession: Succession,
-    /// The process whose place this one has taken, until that has ended.
+    /// The successor started by this process, until it has ended.
+    started_successor: Option<std::process::Child>,
+    successor_state: SuccessorState,
+    /// The process that this one took over from, until it has ended.
     predecessor: Option<RetiringPredecessor>,
-    /// Once this process has been told to stop: until when it waits for that one.
-    predecessor_ends_by: Option<f64>,
+    /// Once this process is asked to stop: until when it waits for the predecessor to end.
+    predecessor_deadline: Option<f64>,
+    /// Connection to discovery.
     watch: Option<Link>,
-    /// Sockets by slot; one leaves with `Effect::Close`.
+    /// Connections of sessions by slot, until the reducer closes them.
     clients: Vec<Option<Link>>,
     servers: Vec<Option<Link>>,
-    /// The client just accepted, until the reducer names its slot.
-    fresh: Option<TcpStream>,
+    /// The client connection accepted last, until the reducer assigns its slot.
+    accepted_socket: Option<TcpStream>,
+    /// Whether clients are accepted, as set by the reducer.
     accepting: bool,
-    /// More clients may wait than were accepted; from when on they are looked for again.
-    accept_from: Option<f64>,
-    /// Told once in the log, until one is accepted again.
-    accept_failed: bool,
-    /// Sockets that broke while written to, and ones that still have bytes.
+    /// When to accept again, as more clients may be pending.
+    accept_at: Option<f64>,
+    /// A failure to accept has been logged, and none was accepted since.
+    accept_failure_logged: bool,
+    /// Sockets on which a write failed.
     broken: VecDeque<End>,
-    again: VecDeque<End>,
-    scratch: Vec<u8>,
+    /// Sockets that may have more bytes to read.
+    pending_reads: VecDeque<End>,
+    read_buffer: Vec<u8>,
     exit: bool,
 }
 
-fn token(end: End) -> Token {
+fn token_of(end: End) -> Token {
     match end {
-        End::Client(slot) => Token(FIRST + 2 * slot),
-        End::Server(slot) => Token(FIRST + 2 * slot + 1),
+        End::Client(slot) => Token(FIRST_SESSION_TOKEN + 2 * slot),
+        End::Server(slot) => Token(FIRST_SESSION_TOKEN + 2 * slot + 1),
     }
 }
 
 fn end_of(token: Token) -> Option<End> {
-    let at = token.0.checked_sub(FIRST)?;
-    Some(if at % 2 == 0 { End::Client(at / 2) } else { End::Server(at / 2) })
+    let offset = token.0.checked_sub(FIRST_SESSION_TOKEN)?;
+    Some(if offset % 2 == 0 { End::Client(offset / 2) } else { End::Server(offset / 2) })
 }
 
-fn empty(told: &mut UnixStream) {
-    let mut some = [0; 16];
-    while matches!(told.read(&mut some), Ok(n) if n > 0) {}
+/// Reads and discards the bytes that woke the loop.
+fn drain_wakeups(socket: &mut UnixStream) {
+    let mut buffer = [0; 16];
+    while matches!(socket.read(&mut buffer), Ok(n) if n > 0) {}
 }
 
 impl EventLoop {
+    /// Registers the listening socket and the wakeup sockets.
+    ///
+    /// # Errors
+    ///
+    /// The poll can't be created, or a socket can't be registered.
     pub fn new(
         clock: Clock,
         reducer: Reducer,
         mut listener: TcpListener,
-        signals: std::os::unix::net::UnixStream,
-        (renewals, renewed): (std::os::unix::net::UnixStream, ConfigurationReloader),
+        stop_wakeup: std::os::unix::net::UnixStream,
+        (reload_wakeup, reloader): (std::os::unix::net::UnixStream, ConfigurationReloader),
     ) -> io::Result<EventLoop> {
         let poll = persist(Poll::new)?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
-        let heard = |told: std::os::unix::net::UnixStream, token| {
-            told.set_nonblocking(true)?;
-            let mut told = UnixStream::from_std(told);
-            poll.registry().register(&mut told, token, Interest::READABLE)?;
-            io::Result::Ok(told)
+        let register_wakeup = |socket: std::os::unix::net::UnixStream, token| {
+            socket.set_nonblocking(true)?;
+            let mut socket = UnixStream::from_std(socket);
+            poll.registry().register(&mut socket, token, Interest::READABLE)?;
+            io::Result::Ok(socket)
         };
-        let (signals, renewals) = (heard(signals, SIGNALS)?, heard(renewals, RENEWALS)?);
+        let (stop_wakeup, reload_wakeup) =
+            (register_wakeup(stop_wakeup, STOP_WAKEUP)?, register_wakeup(reload_wakeup, RELOAD_WAKEUP)?);
         Ok(EventLoop {
             poll,
             clock,
             reducer,
             listener: Some(listener),
-            signals,
-            renewals,
+            stop_wakeup,
+            reload_wakeup,
             signal_flags: None,
-            renewed,
-            reread: None,
-            life: StageMachine::default(),
+            reloader,
+            reload_retry: None,
+            stages: StageMachine::default(),
             notifier: Notifier::disabled(),
             control_socket: None,
-            let_in_from: None,
+            control_accept_at: None,
             start_successor: None,
-            child: None,
-            succession: Succession::None,
+            started_successor: None,
+            successor_state: SuccessorState::None,
             predecessor: None,
-            predecessor_ends_by: None,
+            predecessor_deadline: None,
             watch: None,
             clients: Vec::new(),
             servers: Vec::new(),
-            fresh: None,
+            accepted_socket: None,
             accepting: true,
-            accept_from: None,
-            accept_failed: false,
+            accept_at: None,
+            accept_failure_logged: false,
             broken: VecDeque::new(),
-            again: VecDeque::new(),
-            scratch: vec![0; READ],
+            pending_reads: VecDeque::new(),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
             exit: false,
         })
     }
 
-    /// Runs until the reducer asks for the end.
+    /// Runs until the reducer ends the process and, if this process was asked to stop, until the predecessor has ended.
+    ///
+    /// # Errors
+    ///
+    /// Polling failed.
     pub fn run(&mut self) -> io::Result<()> {
-        let mut events = Events::with_capacity(BATCH);
+        let mut events = Events::with_capacity(MAX_POLL_EVENTS);
         let now = self.clock.now();
-        let mut unticked = 0;
+        let mut polls_since_tick = 0;
         self.apply(now, &[]);
-        self.live(now, StageEvent::ServerListHeld(self.reducer.holds_list()));
-        self.live(now, StageEvent::Listening);
+        self.handle_stage_event(now, StageEvent::ServerListHeld(self.reducer.holds_list()));
+        self.handle_stage_event(now, StageEvent::Listening);
         while !self.exit {
             self.notifier.send_watchdog_if_due(self.clock.now());
-            let accept = self.accept_from.filter(|_| self.accepting);
-            let reread = self.reread.map(|again| again.at);
-            let predecessor = self.predecessor_ends_by.filter(|_| self.predecessor.is_some());
-            let others = [accept, self.notifier.watchdog_due(), reread, self.let_in_from, predecessor];
+            let accept = self.accept_at.filter(|_| self.accepting);
+            let reload_retry = self.reload_retry.map(|retry| retry.next_at);
+            let predecessor = self.predecessor_deadline.filter(|_| self.predecessor.is_some());
+            let others =
+                [accept, self.notifier.watchdog_due(), reload_retry, self.control_accept_at, predecessor];
             let due =
                 self.reducer.next_due().into_iter().chain(others.into_iter().flatten()).reduce(f64::min);
             let wait = match due {
-                _ if !self.again.is_empty() => Some(Duration::ZERO),
+                _ if !self.pending_reads.is_empty() => Some(Duration::ZERO),
                 Some(at) => Some(Duration::from_secs_f64((at - self.clock.now()).clamp(0.0, 60.0))),
                 None => None,
             };
-            let looked_at = self.clock.now();
+            let polled_at = self.clock.now();
             match self.poll.poll(&mut events, wait) {
-                // What falls due meanwhile is looked at all the same: signals may come without end.
+                // Goes on with the iteration, so that due timers run even while signals keep arriving.
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => events.clear(),
                 other => other?,
             }
             let now = self.clock.now();
-            // Whoever was due and was not looked at tells that nobody was.
-            self.reducer.looked(looked_at, due.map_or(0.0, |at| (now - at).max(0.0)));
+            // A timer that runs late shows that the process was held up and that no socket was read in that time.
+            self.reducer.looked(polled_at, due.map_or(0.0, |at| (now - at).max(0.0)));
             if let Some(event) = events.iter().find(|e| e.token() == WATCH) {
                 self.watch_ready(now, event.is_writable());
             }
-            for end in std::mem::take(&mut self.again) {
+            for end in std::mem::take(&mut self.pending_reads) {
                 self.read(now, end);
             }
             let (mut stop, mut reload) = (false, false);
             for event in events.iter() {
                 match event.token() {
-                    LISTENER => self.accept_from = Some(now),
-                    SIGNALS => {
-                        empty(&mut self.signals);
+                    LISTENER => self.accept_at = Some(now),
+                    STOP_WAKEUP => {
+                        drain_wakeups(&mut self.stop_wakeup);
                         stop = true;
                     }
-                    RENEWALS => {
-                        empty(&mut self.renewals);
+                    RELOAD_WAKEUP => {
+                        drain_wakeups(&mut self.reload_wakeup);
                         reload = true;
                     }
-                    PREDECESSOR => self.hear_predecessor(),
+                    PREDECESSOR => self.predecessor_ready(),
                     WATCH => {}
                     other => {
-                        if let Some(whose) = ControlSocket::connection_of(other) {
-                            self.visited(now, whose);
+                        if let Some(connection) = ControlSocket::connection_of(other) {
+                            self.control_socket_ready(now, connection);
                         } else if let Some(end) = end_of(other) {
-                            self.ready(
+                            self.socket_ready(
                                 now,
                                 end,
                                 event.is_readable() || event.is_read_closed() || event.is_error(),
@@ -252,101 +268,107 @@
                     }
                 }
             }
-            // A flag that is set may have lost its byte; a byte whose flag was seen before tells nothing new.
+            // The flag decides: its byte may have been lost, and a byte whose flag is already cleared is a repetition.
             if let Some(flags) = &self.signal_flags {
                 (stop, reload) = (flags.stop.take(), flags.reload.take());
             }
             if stop {
-                self.live(now, StageEvent::StopRequested);
+                self.handle_stage_event(now, StageEvent::StopRequested);
             }
             if reload {
-                self.live(now, StageEvent::ReloadRequested);
+                self.handle_stage_event(now, StageEvent::ReloadRequested);
             }
-            self.end_broken(now);
-            // Only once all that came before is read: a process that was held up for a second took what lay in its sockets
-            // for silence, and sent away who had been answered. One poll may not bring all of it.
-            unticked += 1;
-            if events.iter().count() < BATCH || unticked > MOST_UNTICKED {
-                unticked = 0;
-                self.tell(now, Event::Tick, &[]);
+            self.close_broken_sockets(now);
+            // Timers run only after all earlier bytes are read. Otherwise a process that was held up for a second treats
+            // unread answers as missing, and turns away clients whose answer has arrived. One poll may not return all
+            // readable sockets.
+            polls_since_tick += 1;
+            if events.iter().count() < MAX_POLL_EVENTS || polls_since_tick > MAX_POLLS_WITHOUT_TICK {
+                polls_since_tick = 0;
+                self.dispatch(now, Event::Tick, &[]);
             }
-            self.reread(now);
-            if self.let_in_from.is_some_and(|at| at <= now) {
-                self.let_in(now);
+            self.retry_reload(now);
+            if self.control_accept_at.is_some_and(|at| at <= now) {
+                self.accept_control_connections(now);
             }
-            if self.accepting && self.accept_from.is_some_and(|at| at <= now) {
+            if self.accepting && self.accept_at.is_some_and(|at| at <= now) {
                 self.accept(now);
             }
-            self.end_broken(now);
+            self.close_broken_sockets(now);
             if self.exit && self.waits_for_predecessor(now) {
                 self.exit = false;
             }
             if self.exit {
-                self.empty_queue(now);
+                self.accept_remaining(now);
                 self.exit = self.reducer.is_over(self.clock.now());
             }
         }
         self.leave_predecessor();
         self.reducer.end();
-        self.live(self.clock.now(), StageEvent::Finished);
+        self.handle_stage_event(self.clock.now(), StageEvent::Finished);
         info!("stopped");
         Ok(())
     }
 
-    fn end_broken(&mut self, now: f64) {
+    /// Reports sockets on which a write failed as closed.
+    fn close_broken_sockets(&mut self, now: f64) {
         while let Some(end) = self.broken.pop_front() {
-            // What it sent before it broke still counts, above all a last word.
+            // Bytes received before the failure are still valid, above all a final response.
             self.read(now, end);
             if self.link(end).is_some_and(|l| !l.ended) {
-                self.tell(now, Event::Closed(end, How::Broken), &[]);
+                self.dispatch(now, Event::Closed(end, How::Broken), &[]);
             }
         }
     }
 
-    /// The life goes on, and what it asks for is done.
-    fn live(&mut self, now: f64, told: StageEvent) {
-        for act in self.life.handle(told) {
-            match act {
+    /// Applies an event to the stage machine and carries out its actions.
+    fn handle_stage_event(&mut self, now: f64, event: StageEvent) {
+        for action in self.stages.handle(event) {
+            match action {
                 StageAction::NotifyReady => self.notifier.send(Notification::Ready),
                 StageAction::NotifyReloading => self.notifier.send(Notification::Reloading),
                 StageAction::NotifyStopping => self.notifier.send(Notification::Stopping),
                 StageAction::ReportStage => {
-                    let stage = self.life.stage().name();
+                    let stage = self.stages.stage().name();
                     info!(stage; "the process is {stage}");
                     self.notifier.send(Notification::Status(stage));
                 }
                 StageAction::ReloadConfiguration => {
-                    self.reread = None;
-                    if !self.renew(now, FaultLogging::On) {
-                        self.reread = Some(Reread { at: now + REREAD_PAUSE, until: now + REREAD_FOR });
+                    self.reload_retry = None;
+                    if !self.reload(now, FaultLogging::On) {
+                        self.reload_retry = Some(ReloadRetry {
+                            next_at: now + RELOAD_RETRY_SECONDS,
+                            until: now + RELOAD_RETRY_LIMIT_SECONDS,
+                        });
                     }
-                    self.live(now, StageEvent::ReloadFinished);
+                    self.handle_stage_event(now, StageEvent::ReloadFinished);
                 }
-                // How long the drain takes was told with it.
+                // The request handler dispatches the drain, as it has its duration.
                 StageAction::Drain => {}
-                StageAction::Undrain => self.tell(now, Event::Undrain, &[]),
+                StageAction::Undrain => self.dispatch(now, Event::Undrain, &[]),
                 StageAction::Stop => {
                     self.stop_predecessor(now);
-                    self.tell(now, Event::Stop, &[]);
+                    self.dispatch(now, Event::Stop, &[]);
                 }
             }
         }
     }
 
-    /// Reads the configuration and goes by it; false where it can't be read.
-    fn renew(&mut self, now: f64, report: FaultLogging) -> bool {
-        let Some((discovery, most)) = (self.renewed)(report) else { return false };
-        self.tell(now, Event::Renewed(discovery, most), &[]);
+    /// Reads the configuration and applies it. Returns false if it is invalid.
+    fn reload(&mut self, now: f64, fault_logging: FaultLogging) -> bool {
+        let Some((discovery, max_descriptors)) = (self.reloader)(fault_logging) else { return false };
+        self.dispatch(now, Event::Renewed(discovery, max_descriptors), &[]);
         true
     }
 
-    /// Reads the configuration once more, where that is due.
-    fn reread(&mut self, now: f64) {
-        let Some(again) = self.reread.filter(|again| again.at <= now) else { return };
-        let done = self.renew(now, FaultLogging::Off) || now >= again.until;
-        self.reread = (!done).then_some(Reread { at: now + REREAD_PAUSE, ..again });
+    /// Repeats a reload that failed, if that is due.
+    fn retry_reload(&mut self, now: f64) {
+        let Some(retry) = self.reload_retry.filter(|retry| retry.next_at <= now) else { return };
+        let done = self.reload(now, FaultLogging::Off) || now >= retry.until;
+        self.reload_retry = (!done).then_some(ReloadRetry { next_at: now + RELOAD_RETRY_SECONDS, ..retry });
     }
 
+    /// The open connection of this end.
     fn link(&mut self, end: End) -> Option<&mut Link> {
         match end {
             End::Client(slot) => self.clients.get_mut(slot)?.as_mut(),
@@ -354,22 +376,23 @@
         }
     }
 
-    fn ready(&mut self, now: f64, end: End, readable: bool) {
+    /// Handles readiness of a session's socket: a completed connect, room to write, bytes to read.
+    fn socket_ready(&mut self, now: f64, end: End, readable: bool) {
         let Some(link) = self.link(end) else { return };
         if link.connecting {
             match link.socket.take_error() {
                 Ok(None) => {}
-                _ => return self.refused(now, end),
+                _ => return self.connect_failed(now, end),
             }
             match link.socket.peer_addr() {
                 Ok(_) => {
                     link.connecting = false;
                     if let End::Server(leg) = end {
-                        self.connected(now, leg);
+                        self.server_connected(now, leg);
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
-                Err(_) => return self.refused(now, end),
+                Err(_) => return self.connect_failed(now, end),
             }
         } else {
             self.flush(now, end);
@@ -379,30 +402,32 @@
         }
     }
 
-    /// A leg's connection is up. Its client may have left meanwhile, and that lie behind in the same batch: its line went
-    /// out for nobody.
-    fn connected(&mut self, now: f64, leg: usize) {
+    /// Handles a completed connect to a server. The client is read first: its close may follow in the same batch of events,
+    /// and then the call must not be sent to the server.
+    fn server_connected(&mut self, now: f64, leg: usize) {
         if let Some(client) = self.reducer.client_of(leg) {
             self.read(now, client);
         }
-        // The leg may have ended by that, and its slot be another's, which is not up.
+        // That read may have ended the leg and given its slot to another one that is still connecting.
         if self.link(End::Server(leg)).is_some_and(|l| !l.connecting) {
-            self.tell(now, Event::Connected(leg), &[]);
+            self.dispatch(now, Event::Connected(leg), &[]);
         }
     }
 
-    fn refused(&mut self, now: f64, end: End) {
+    /// Handles a failed connect to a server.
+    fn connect_failed(&mut self, now: f64, end: End) {
         if let End::Server(leg) = end {
-            self.tell(now, Event::Refused(leg), &[]);
+            self.dispatch(now, Event::Refused(leg), &[]);
         }
     }
 
+    /// Writes the unsent bytes of a socket.
     fn flush(&mut self, now: f64, end: End) {
         let Some(link) = self.link(end) else { return };
         if link.is_clear() {
             return;
         }
-        // The rest of a head goes out only for a client that is still there.
+        // The rest of a head is sent only if the client has not left.
         if let Some(client) = link.asking.then_some(end).and_then(|e| self.reducer.other(e)) {
             self.read(now, client);
         }
@@ -412,10 +437,10 @@
             Ok(true) => {
                 if std::mem::take(&mut link.asking) {
                     if let End::Server(leg) = end {
-                        self.tell(now, Event::HeadWritten(leg), &[]);
+                        self.dispatch(now, Event::HeadWritten(leg), &[]);
                     }
                 }
-                // What came from the other side meanwhile was left there.
+                // Reads from the other side were suspended while this side had unsent bytes.
                 let other = self.reducer.other(end);
                 if let Some(other) = other.filter(|o| self.link(*o).is_some_and(|l| l.readable)) {
                     self.read(now, other);
@@ -425,46 +450,48 @@
         }
     }
 
+    /// Reads from a socket, up to `MAX_READS_PER_SOCKET` times, and dispatches the bytes.
     fn read(&mut self, now: f64, end: End) {
-        let mut scratch = std::mem::take(&mut self.scratch);
-        // One that stands nowhere has little to say; one that says more waits for the others after each piece.
-        let reads = if self.reducer.other(end).is_some() { READS } else { 1 };
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
+        // Without an established call little is expected; a client that sends more waits for the other sockets each time.
+        let reads = if self.reducer.other(end).is_some() { MAX_READS_PER_SOCKET } else { 1 };
         for _ in 0..reads {
             let other = self.reducer.other(end);
-            let full = other.is_some_and(|o| self.link(o).is_some_and(|l| !l.is_clear()));
+            let other_is_full = other.is_some_and(|o| self.link(o).is_some_and(|l| !l.is_clear()));
             let Some(link) = self.link(end).filter(|l| !l.ended && !l.connecting) else {
-                self.scratch = scratch;
+                self.read_buffer = read_buffer;
                 return;
             };
-            link.readable = full;
-            if full {
+            link.readable = other_is_full;
+            if other_is_full {
                 break;
             }
-            match link.socket.read(&mut scratch) {
+            match link.socket.read(&mut read_buffer) {
                 Ok(0) => {
                     link.ended = true;
-                    self.tell(now, Event::Closed(end, How::Closed), &[]);
+                    self.dispatch(now, Event::Closed(end, How::Closed), &[]);
                     break;
                 }
-                Ok(n) => self.tell(now, Event::Bytes(end, &scratch[..n]), &scratch[..n]),
+                Ok(n) => self.dispatch(now, Event::Bytes(end, &read_buffer[..n]), &read_buffer[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
-                    self.scratch = scratch;
+                    self.read_buffer = read_buffer;
                     return;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
                     link.ended = true;
-                    self.tell(now, Event::Closed(end, How::Broken), &[]);
+                    self.dispatch(now, Event::Closed(end, How::Broken), &[]);
                     break;
                 }
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
         if self.link(end).is_some_and(|l| !l.ended && !l.readable) {
-            self.again.push_back(end);
+            self.pending_reads.push_back(end);
         }
     }
 
+    /// Handles readiness of the connection to discovery.
     fn watch_ready(&mut self, now: f64, writable: bool) {
         if let Some(ahead) = self.clock.wall_ahead() {
             self.reducer.wall_clock_is_ahead(ahead);
@@ -475,34 +502,36 @@
                 return;
             }
             if !matches!(link.socket.take_error(), Ok(None)) || link.socket.peer_addr().is_err() {
-                return self.lose_watch(now);
+                return self.watch_lost(now);
             }
             link.connecting = false;
             if link.flush().is_err() {
-                return self.lose_watch(now);
+                return self.watch_lost(now);
             }
-            self.tell(now, Event::WatchOpen, &[]);
+            self.dispatch(now, Event::WatchOpen, &[]);
         }
-        let mut scratch = std::mem::take(&mut self.scratch);
-        // One that was opened in its place meanwhile has not come up.
+        let mut read_buffer = std::mem::take(&mut self.read_buffer);
+        // A watch that was opened in the meantime is still connecting.
         while let Some(link) = self.watch.as_mut().filter(|l| !l.connecting) {
-            match link.socket.read(&mut scratch) {
-                Ok(0) => self.lose_watch(now),
-                Ok(n) => self.tell(now, Event::Watch(&scratch[..n]), &[]),
+            match link.socket.read(&mut read_buffer) {
+                Ok(0) => self.watch_lost(now),
+                Ok(n) => self.dispatch(now, Event::Watch(&read_buffer[..n]), &[]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => self.lose_watch(now),
+                Err(_) => self.watch_lost(now),
             }
         }
-        self.scratch = scratch;
+        self.read_buffer = read_buffer;
     }
 
-    fn lose_watch(&mut self, now: f64) {
+    /// Closes the connection to discovery and reports it lost.
+    fn watch_lost(&mut self, now: f64) {
         self.watch = None;
-        self.tell(now, Event::WatchLost, &[]);
+        self.dispatch(now, Event::WatchLost, &[]);
     }
 
-    fn follow(&mut self, now: f64, discovery: SocketAddr, since: u64) {
+    /// Connects to discovery and requests the changes since that version of the list.
+    fn open_watch(&mut self, now: f64, discovery: SocketAddr, since: u64) {
         self.watch = None;
         let opened = TcpStream::connect(discovery).and_then(|mut socket| {
             self.poll.registry().register(&mut socket, WATCH, Interest::READABLE | Interest::WRITABLE)?;
@@ -512,20 +541,21 @@
         });
         match opened {
             Ok(link) => self.watch = Some(link),
-            Err(_) => self.lose_watch(now),
+            Err(_) => self.watch_lost(now),
         }
     }
 
-    fn tell(&mut self, now: f64, event: Event, bytes: &[u8]) {
-        let news = matches!(event, Event::Watch(_));
+    /// Passes an event to the reducer and carries out the effects; `bytes` are those of the event.
+    fn dispatch(&mut self, now: f64, event: Event, bytes: &[u8]) {
+        let from_watch = matches!(event, Event::Watch(_));
         self.reducer.step(now, event);
         self.apply(now, bytes);
-        if news {
-            self.live(now, StageEvent::ServerListHeld(self.reducer.holds_list()));
+        if from_watch {
+            self.handle_stage_event(now, StageEvent::ServerListHeld(self.reducer.holds_list()));
         }
     }
 
-    /// Carries out what the reducer asks for; `bytes` are those of the event.
+    /// Carries out the pending effects of the reducer; `bytes` are those of the event.
     fn apply(&mut self, now: f64, bytes: &[u8]) {
         for effect in self.reducer.effects() {
             match effect {
@@ -542,58 +572,61 @@
                     }
                 }
                 Effect::Close(end, how) => {
-                    let place = match end {
+                    let slot_entry = match end {
                         End::Client(slot) => self.clients.get_mut(slot),
                         End::Server(slot) => self.servers.get_mut(slot),
                     };
-                    // The slot may be another's before these are looked at.
+                    // The slot may be reused before these queues are processed.
                     self.broken.retain(|e| *e != end);
-                    self.again.retain(|e| *e != end);
-                    if let Some(link) = place.and_then(Option::take) {
+                    self.pending_reads.retain(|e| *e != end);
+                    if let Some(link) = slot_entry.and_then(Option::take) {
                         if how == How::Broken {
                             link.abort();
                         }
                     }
                 }
                 Effect::Accepting(on) => self.accepting = on,
-                Effect::Follow(discovery, since) => self.follow(now, discovery, since),
+                Effect::Follow(discovery, since) => self.open_watch(now, discovery, since),
                 Effect::Unfollow => self.watch = None,
                 Effect::Exit => self.exit = true,
             }
         }
     }
 
-    fn keep(&mut self, end: End, mut socket: TcpStream, connecting: bool) {
+    /// Registers a session's socket with the poll and stores it in its slot.
+    fn register(&mut self, end: End, mut socket: TcpStream, connecting: bool) {
         let _ = socket.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if let Err(e) = self.poll.registry().register(&mut socket, token(end), interest) {
-            error!("a socket could not be watched: {e}");
+        if let Err(e) = self.poll.registry().register(&mut socket, token_of(end), interest) {
+            error!("a socket could not be registered: {e}");
             self.broken.push_back(end);
         }
-        let (places, slot) = match end {
+        let (links, slot) = match end {
             End::Client(slot) => (&mut self.clients, slot),
             End::Server(slot) => (&mut self.servers, slot),
         };
-        if places.len() <= slot {
-            places.resize_with(slot + 1, || None);
+        if links.len() <= slot {
+            links.resize_with(slot + 1, || None);
         }
-        places[slot] = Some(Link::new(socket, connecting));
+        links[slot] = Some(Link::new(socket, connecting));
     }
 
-    fn dial(&mut self, now: f64, leg: usize, to: SocketAddr) {
-        match TcpStream::connect(to) {
-            Ok(socket) => self.keep(End::Server(leg), socket, true),
+    /// Connects to a server for a leg.
+    fn dial(&mut self, now: f64, leg: usize, address: SocketAddr) {
+        match TcpStream::connect(address) {
+            Ok(socket) => self.register(End::Server(leg), socket, true),
             Err(e) if is_transient(&e) => {
-                debug!("dialling {to}, for now: {e}");
-                self.tell(now, Event::NotDialled(leg), &[]);
+                debug!("connecting to {address} failed, transient: {e}");
+                self.dispatch(now, Event::NotDialled(leg), &[]);
             }
             Err(e) => {
-                debug!("dialling {to}: {e}");
-                self.tell(now, Event::Refused(leg), &[]);
+                debug!("connecting to {address} failed: {e}");
+                self.dispatch(now, Event::Refused(leg), &[]);
             }
         }
     }
 
+    /// Writes to a socket; bytes that it does not accept are kept.
     fn write(&mut self, end: End, parts: &[&[u8]]) {
         let Some(link) = self.link(end) else { return };
         if link.write(parts).is_err() {
@@ -601,28 +634,28 @@
         }
     }
 
-    /// The first line goes on as it came, but for the client's waiting time.
+    /// Forwards the first line of a session to a server, with the client's waiting time replaced by `wait_value`.
     fn write_head(
         &mut self,
         now: f64,
         leg: usize,
         session: usize,
-        wait: std::ops::Range<usize>,
-        figure: u64,
+        wait_range: std::ops::Range<usize>,
+        wait_value: u64,
     ) {
-        let digits = figure.to_string();
+        let digits = wait_value.to_string();
         let head = self.reducer.head(session);
         let Some(link) = self.servers.get_mut(leg).and_then(Option::as_mut) else { return };
-        let outcome = if wait.is_empty() {
+        let outcome = if wait_range.is_empty() {
             link.write(&[head])
         } else {
-            link.write(&[&head[..wait.start], digits.as_bytes(), &head[wait.end..]])
+            link.write(&[&head[..wait_range.start], digits.as_bytes(), &head[wait_range.end..]])
         };
         link.asking = !link.is_clear();
         match outcome {
             Ok(()) if link.asking => {}
-            Ok(()) => self.tell(now, Event::HeadWritten(leg), &[]),
-            Err(_) => self.tell(now, Event::Closed(End::Server(leg), How::Broken), &[]),
+            Ok(()) => self.dispatch(now, Event::HeadWritten(leg), &[]),
+            Err(_) => self.dispatch(now, Event::Closed(End::Server(leg), How::Broken), &[]),
         }
     }
 }
--- a/crates/dewhead-proxy/src/event_loop/accept.rs
+++ b/crates/dewhead-proxy/src/event_loop/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients, and the queue of those not accepted yet when the process ends.
+//! Accepting clients, including those still in the listen queue when the process ends.
 
 use super::EventLoop;
 use crate::reducer::{End, Event, How};
@@ -6,65 +6,68 @@
 use std::io;
 use std::time::Duration;
 
-/// So many clients are accepted before those who are in have their turn.
-const ACCEPTS: usize = 32;
-/// Where accepting fails, it is tried again after this, in seconds.
-pub(super) const ACCEPT_PAUSE: f64 = 0.05;
-/// At the end accepting is tried so often, after this pause, while it fails: the process is killed 0.1 s later.
-const LAST_ACCEPTS: u32 = 10;
-const LAST_PAUSE: Duration = Duration::from_millis(5);
+/// Most clients accepted in one iteration, so that connected clients are served in between.
+const MAX_ACCEPTS_PER_ITERATION: usize = 32;
+/// Pause before accepting is tried again after a failure.
+pub(super) const ACCEPT_RETRY_SECONDS: f64 = 0.05;
+/// While accepting fails at the end of the process, it is tried this many times, with this pause in between. The process
+/// is killed 0.1 s later.
+const FINAL_ACCEPT_ROUNDS: u32 = 10;
+const FINAL_ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
 impl EventLoop {
-    /// Who came in time and was not accepted yet would be reset with the listener. Accepting may fail for a moment; and
-    /// where time is up, what those who are in have sent is read and answered here, or not at all.
-    pub(super) fn empty_queue(&mut self, now: f64) {
-        for _ in 0..LAST_ACCEPTS {
+    /// Accepts the clients in the listen queue and reads from all clients. Closing the listener would reset clients that
+    /// connected in time and are not accepted yet. Accepting may fail for a moment. Once time is up, this is the last
+    /// chance to read and answer what connected clients have sent.
+    pub(super) fn accept_remaining(&mut self, now: f64) {
+        for _ in 0..FINAL_ACCEPT_ROUNDS {
             while self.accept(now) {}
-            if self.accept_from.is_none() {
+            if self.accept_at.is_none() {
                 break;
             }
-            std::thread::sleep(LAST_PAUSE);
+            std::thread::sleep(FINAL_ACCEPT_PAUSE);
         }
         for slot in 0..self.clients.len() {
             self.read(now, End::Client(slot));
         }
     }
 
-    /// Accepts some; whether more may wait.
+    /// Accepts clients, up to `MAX_ACCEPTS_PER_ITERATION`. Returns whether more may be pending.
     pub(super) fn accept(&mut self, now: f64) -> bool {
-        self.accept_from = None;
-        for _ in 0..ACCEPTS {
+        self.accept_at = None;
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             if !self.accepting {
                 break;
             }
             let Some(listener) = &self.listener else { return false };
             match listener.accept() {
                 Ok((socket, _)) => {
-                    self.accept_failed = false;
-                    self.fresh = Some(socket);
-                    self.tell(now, Event::Accepted, &[]);
+                    self.accept_failure_logged = false;
+                    self.accepted_socket = Some(socket);
+                    self.dispatch(now, Event::Accepted, &[]);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) => {
-                    if !std::mem::replace(&mut self.accept_failed, true) {
-                        warn!("accepting: {e}");
+                    if !std::mem::replace(&mut self.accept_failure_logged, true) {
+                        warn!("accepting a client failed: {e}");
                     }
-                    self.accept_from = Some(now + ACCEPT_PAUSE);
+                    self.accept_at = Some(now + ACCEPT_RETRY_SECONDS);
                     return false;
                 }
             }
         }
-        // More may wait: for the next turn, or where no descriptors are left for when there are.
-        self.accept_from = Some(now);
+        // More may be pending. They are accepted in the next iteration, or once descriptors are free again.
+        self.accept_at = Some(now);
         self.accepting
     }
 
+    /// Stores the client connection accepted last in the slot that the reducer assigned.
     pub(super) fn admit(&mut self, now: f64, slot: usize) {
-        match self.fresh.take() {
-            Some(socket) => self.keep(End::Client(slot), socket, false),
-            None => self.tell(now, Event::Closed(End::Client(slot), How::Broken), &[]),
+        match self.accepted_socket.take() {
+            Some(socket) => self.register(End::Client(slot), socket, false),
+            None => self.dispatch(now, Event::Closed(End::Client(slot), How::Broken), &[]),
         }
     }
 }
--- a/crates/dewhead-proxy/src/event_loop/control.rs
+++ b/crates/dewhead-proxy/src/event_loop/control.rs
@@ -1,7 +1,7 @@
-//! The control socket's part of the loop: what operators and a successor ask for.
+//! Handling of the control socket in the event loop: requests of operators and of a successor.
 
-use super::accept::ACCEPT_PAUSE;
-use super::{EventLoop, Succession};
+use super::accept::ACCEPT_RETRY_SECONDS;
+use super::{EventLoop, SuccessorState};
 use crate::control::protocol::{self, Request};
 use crate::control::socket::ControlSocket;
 use crate::lifecycle::stages::{Stage, StageEvent};
@@ -10,164 +10,173 @@
 use std::io;
 use std::os::fd::AsFd;
 
-fn refused(stage: Stage) -> String {
-    format!("not while the process is {}", stage.name())
+/// Fault for a request that the stage does not allow.
+fn not_possible_in(stage: Stage) -> String {
+    format!("not possible while the process is {}", stage.name())
 }
 
 impl EventLoop {
     /// Opens the control socket.
+    ///
+    /// # Errors
+    ///
+    /// The socket can't be opened, or another process serves it.
     pub fn open_control_socket(&mut self, path: &std::path::Path) -> io::Result<()> {
         self.control_socket = Some(ControlSocket::open(path, self.poll.registry())?);
         Ok(())
     }
 
-    /// Takes in who waits at the control socket; looks again a little later where that fails.
-    pub(super) fn let_in(&mut self, now: f64) {
+    /// Accepts connections to the control socket. If that fails, it is tried again a little later.
+    pub(super) fn accept_control_connections(&mut self, now: f64) {
         let Some(socket) = &mut self.control_socket else { return };
-        let all_in = socket.accept(self.poll.registry());
-        self.let_in_from = (!all_in).then_some(now + ACCEPT_PAUSE);
+        let all_accepted = socket.accept(self.poll.registry());
+        self.control_accept_at = (!all_accepted).then_some(now + ACCEPT_RETRY_SECONDS);
     }
 
-    /// Somebody is at the control socket.
-    pub(super) fn visited(&mut self, now: f64, whose: Option<usize>) {
+    /// Handles readiness of the control socket: the listener if `connection` is none, otherwise the connection in that slot.
+    pub(super) fn control_socket_ready(&mut self, now: f64, connection: Option<usize>) {
         let Some(socket) = &mut self.control_socket else { return };
-        let Some(place) = whose else { return self.let_in(now) };
-        socket.flush(place);
-        for line in socket.read_lines(place) {
+        let Some(slot) = connection else { return self.accept_control_connections(now) };
+        socket.flush(slot);
+        for line in socket.read_lines(slot) {
             let outcome = match protocol::parse_request(&line) {
-                Ok(Request::TakeOver) => match self.hand_on(now, place) {
+                Ok(Request::TakeOver) => match self.send_handover(now, slot) {
                     Ok(()) => continue,
                     Err(fault) => Err(fault),
                 },
-                Ok(Request::TakenOver(seconds)) => self.retire(now, place, seconds),
-                Ok(Request::Stop) => self.stop_with_successor(now, place),
-                Ok(request) => self.asked(now, request),
+                Ok(Request::TakenOver(seconds)) => self.retire(now, slot, seconds),
+                Ok(Request::Stop) => self.stop_with_successor(now, slot),
+                Ok(request) => self.handle_request(now, request),
                 Err(fault) => Err(fault),
             };
             if let Some(socket) = &mut self.control_socket {
-                socket.send_response(place, &protocol::format_response(outcome));
+                socket.send_response(slot, &protocol::format_response(outcome));
             }
         }
-        let left = !self.control_socket.as_ref().is_some_and(|socket| socket.is_open(place));
-        if left && self.succession == Succession::Offered(place) {
-            // It died, or could not start: nothing has changed here.
-            warn!("the process that was to take this one's place has gone; serving on");
+        let closed = !self.control_socket.as_ref().is_some_and(|socket| socket.is_open(slot));
+        if closed && self.successor_state == SuccessorState::Offered(slot) {
+            // The successor failed or was killed. Nothing has changed in this process.
+            warn!("the successor ended before it took over; this process serves on");
         }
-        if left && matches!(self.succession, Succession::Offered(at) | Succession::Taken(at) if at == place) {
-            self.succession = Succession::None;
+        if closed
+            && matches!(self.successor_state, SuccessorState::Offered(at) | SuccessorState::TookOver(at) if at == slot)
+        {
+            self.successor_state = SuccessorState::None;
         }
-        self.reap();
+        self.reap_started_successor();
     }
 
-    /// Whether another process is about to take this one's place.
+    /// Whether a handover to another process is in progress.
     fn is_handing_over(&self) -> bool {
-        matches!(self.succession, Succession::Offered(_)) || self.child.is_some()
+        matches!(self.successor_state, SuccessorState::Offered(_)) || self.started_successor.is_some()
     }
 
-    /// A process that was started here and has ended leaves nothing behind.
-    fn reap(&mut self) {
-        if let Some(child) = &mut self.child {
+    /// Reaps the successor started by this process if it has ended.
+    fn reap_started_successor(&mut self) {
+        if let Some(child) = &mut self.started_successor {
             if !matches!(child.try_wait(), Ok(None)) {
-                self.child = None;
+                self.started_successor = None;
             }
         }
     }
 
-    /// Gives a successor the listening socket and what was learned. Both accept from then on, until it says that it has
-    /// taken the place, or goes.
-    fn hand_on(&mut self, now: f64, place: usize) -> Result<(), String> {
-        let stage = self.life.stage();
+    /// Sends the listening socket and the learned state to a successor. Both processes accept clients until the successor
+    /// reports that it has taken over, or closes its connection.
+    fn send_handover(&mut self, now: f64, slot: usize) -> Result<(), String> {
+        let stage = self.stages.stage();
         if !matches!(stage, Stage::Ready | Stage::Waiting | Stage::Draining) {
-            return Err(refused(stage));
+            return Err(not_possible_in(stage));
         }
-        if self.succession != Succession::None {
-            return Err("another process is about to take this one's place".to_owned());
+        if self.successor_state != SuccessorState::None {
+            return Err("a handover to another process is in progress".to_owned());
         }
         let (Some(listener), Some(socket)) = (&self.listener, &mut self.control_socket) else {
-            return Err("there is no listening socket to hand on".to_owned());
+            return Err("there is no listening socket to hand over".to_owned());
         };
-        let answer = protocol::format_response(Ok(serde_json::json!({"handed": self.reducer.hand_on(now)})));
+        let response =
+            protocol::format_response(Ok(serde_json::json!({"handed": self.reducer.hand_on(now)})));
         socket
-            .send_response_with_descriptor(place, &answer, listener.as_fd())
-            .map_err(|e| format!("the socket can't be handed on: {e}"))?;
-        socket.flush(place);
-        self.succession = Succession::Offered(place);
-        info!("the listening socket is handed on");
+            .send_response_with_descriptor(slot, &response, listener.as_fd())
+            .map_err(|e| format!("the listening socket can't be handed over: {e}"))?;
+        socket.flush(slot);
+        self.successor_state = SuccessorState::Offered(slot);
+        info!("the listening socket is handed over");
         Ok(())
     }
 
-    /// The successor serves: this process accepts no more, and its clients leave over so many seconds.
-    fn retire(&mut self, now: f64, place: usize, seconds: Option<f64>) -> Result<serde_json::Value, String> {
-        if self.succession != Succession::Offered(place) {
-            return Err("only who was given the listening socket can take the place".to_owned());
+    /// The successor serves: closes the listening socket and moves the clients away over this time in seconds.
+    fn retire(&mut self, now: f64, slot: usize, seconds: Option<f64>) -> Result<serde_json::Value, String> {
+        if self.successor_state != SuccessorState::Offered(slot) {
+            return Err("only the process that received the listening socket can take over".to_owned());
         }
-        // A supervisor that stops the service while a successor gets ready has told this process alone: a successor
-        // that served would be left running with nobody to stop it.
-        let stage = self.life.stage();
+        // A supervisor that stops the service while a successor starts has signalled only this process. A successor
+        // that took over would keep running, and no supervisor would stop it.
+        let stage = self.stages.stage();
         if stage == Stage::Stopping {
-            return Err(refused(stage));
+            return Err(not_possible_in(stage));
         }
-        self.succession = Succession::Taken(place);
+        self.successor_state = SuccessorState::TookOver(slot);
         if let Some(mut listener) = self.listener.take() {
-            // Dropped in the next moment, whether the poll lets it go or not.
+            // The listener is closed at the end of this block, even if it can't be deregistered.
             let _ = self.poll.registry().deregister(&mut listener);
         }
         if let Some(socket) = &mut self.control_socket {
             socket.close_listener(self.poll.registry());
         }
-        self.live(now, StageEvent::SuccessorTookOver);
+        self.handle_stage_event(now, StageEvent::SuccessorTookOver);
         let spread = seconds.unwrap_or_else(|| self.reducer.usual_spread());
-        self.tell(now, Event::Retire(spread), &[]);
-        Ok(serde_json::json!({"stage": self.life.stage().name()}))
+        self.dispatch(now, Event::Retire(spread), &[]);
+        Ok(serde_json::json!({"stage": self.stages.stage().name()}))
     }
 
-    /// The process that has taken the place was told to stop: so is this one, and in the same time.
-    fn stop_with_successor(&mut self, now: f64, place: usize) -> Result<serde_json::Value, String> {
-        if self.succession != Succession::Taken(place) {
-            return Err("only the process that has taken the place can stop this one".to_owned());
+    /// The successor was asked to stop, so this process stops, too, within the same time.
+    fn stop_with_successor(&mut self, now: f64, slot: usize) -> Result<serde_json::Value, String> {
+        if self.successor_state != SuccessorState::TookOver(slot) {
+            return Err("only the successor that has taken over can stop this process".to_owned());
         }
-        self.live(now, StageEvent::StopRequested);
-        Ok(serde_json::json!({"stage": self.life.stage().name()}))
+        self.handle_stage_event(now, StageEvent::StopRequested);
+        Ok(serde_json::json!({"stage": self.stages.stage().name()}))
     }
 
-    fn asked(&mut self, now: f64, request: Request) -> Result<serde_json::Value, String> {
-        let stage = self.life.stage();
+    /// Carries out a request of an operator and returns the response.
+    fn handle_request(&mut self, now: f64, request: Request) -> Result<serde_json::Value, String> {
+        let stage = self.stages.stage();
         match request {
             Request::Status => {}
             Request::Connections => return Ok(self.reducer.connections()),
             Request::Drain(seconds) => {
                 if !matches!(stage, Stage::Ready | Stage::Waiting) {
-                    return Err(refused(stage));
+                    return Err(not_possible_in(stage));
                 }
-                self.live(now, StageEvent::DrainRequested);
+                self.handle_stage_event(now, StageEvent::DrainRequested);
                 let spread = seconds.unwrap_or_else(|| self.reducer.usual_spread());
-                self.tell(now, Event::Drain(spread), &[]);
+                self.dispatch(now, Event::Drain(spread), &[]);
             }
             Request::Undrain => {
                 if stage != Stage::Draining {
-                    return Err(refused(stage));
+                    return Err(not_possible_in(stage));
                 }
-                self.live(now, StageEvent::UndrainRequested);
+                self.handle_stage_event(now, StageEvent::UndrainRequested);
             }
-            Request::Reload => self.live(now, StageEvent::ReloadRequested),
+            Request::Reload => self.handle_stage_event(now, StageEvent::ReloadRequested),
             Request::Handover(program) => {
-                self.reap();
+                self.reap_started_successor();
                 if self.is_handing_over() {
-                    return Err("another process is about to take this one's place".to_owned());
+                    return Err("a handover to another process is in progress".to_owned());
                 }
                 if !matches!(stage, Stage::Ready | Stage::Waiting | Stage::Draining) {
-                    return Err(refused(stage));
+                    return Err(not_possible_in(stage));
                 }
-                let starts = self.start_successor.as_mut().ok_or("no process can be started here")?;
-                let child = starts(program.as_deref())?;
-                info!(process = child.id(); "a process is started to take this one's place");
-                self.child = Some(child);
+                let start = self.start_successor.as_mut().ok_or("this process can't start a successor")?;
+                let child = start(program.as_deref())?;
+                info!(process = child.id(); "a successor is started");
+                self.started_successor = Some(child);
             }
-            // Answered where the visitor is known.
+            // Handled by the caller, which knows the connection.
             Request::TakeOver | Request::TakenOver(_) | Request::Stop => {}
         }
         let mut status = self.reducer.status(now);
-        status["stage"] = self.life.stage().name().into();
+        status["stage"] = self.stages.stage().name().into();
         status["build"] = env!("CARGO_PKG_VERSION").into();
         status["process"] = std::process::id().into();
         status["handing_over"] = self.is_handing_over().into();
--- a/crates/dewhead-proxy/src/event_loop/predecessor.rs
+++ b/crates/dewhead-proxy/src/event_loop/predecessor.rs
@@ -1,51 +1,51 @@
-//! The loop's part with the process whose place this one has taken, and which still sends its own clients away.
+//! Handling of the predecessor in the event loop, while it still moves its own clients away.
 //!
-//! A supervisor may know this process alone: its signal is passed on, and this process ends after its predecessor, as
-//! many supervisors kill what is left of a service once its main process has ended.
+//! A supervisor may know only this process. A stop signal is therefore passed on, and this process ends after its
+//! predecessor, as many supervisors kill the remaining processes of a service once its main process has ended.
 
 use super::{EventLoop, PREDECESSOR};
 use crate::control::predecessor::RetiringPredecessor;
 use log::{info, warn};
 use std::os::unix::net::UnixStream;
 
-/// It was told to stop a moment after this process and may take as long; this one waits so much longer, in seconds. Where
-/// clients stay to the last, both would else end at the same time, and either one first.
-const LATER: f64 = 0.05;
+/// The predecessor is asked to stop a moment after this process and may take as long to stop, so this process waits this
+/// much longer. Otherwise, with clients that stay to the last, both end at the same time and either may be first.
+const PREDECESSOR_MARGIN_SECONDS: f64 = 0.05;
 
 impl EventLoop {
-    /// Follows the process whose place was taken, on the connection on which it was.
+    /// Watches the predecessor on the connection over which this process took over.
     pub fn follow_predecessor(&mut self, stream: UnixStream) {
         match RetiringPredecessor::follow(stream, self.poll.registry(), PREDECESSOR) {
             Ok(predecessor) => self.predecessor = Some(predecessor),
-            // It ends by itself; only a stop before that would not reach it.
-            Err(e) => warn!("the process whose place was taken can't be followed: {e}"),
+            // The predecessor ends by itself. Only a stop before that does not reach it.
+            Err(e) => warn!("the predecessor can't be watched: {e}"),
         }
     }
 
-    /// Something came from it: its end, or an answer.
-    pub(super) fn hear_predecessor(&mut self) {
+    /// Handles readiness of the connection to the predecessor: its end, or a response.
+    pub(super) fn predecessor_ready(&mut self) {
         let Some(predecessor) = &mut self.predecessor else { return };
         predecessor.flush();
         if predecessor.has_ended() {
-            info!("the process whose place was taken has ended");
+            info!("the predecessor has ended");
             self.predecessor = None;
         }
     }
 
-    /// This process has been told to stop, and so it is.
+    /// Requests the predecessor to stop, as this process was asked to stop.
     pub(super) fn stop_predecessor(&mut self, now: f64) {
-        self.predecessor_ends_by = Some(now + self.reducer.stop_takes() + LATER);
+        self.predecessor_deadline = Some(now + self.reducer.stop_takes() + PREDECESSOR_MARGIN_SECONDS);
         if let Some(predecessor) = &mut self.predecessor {
             predecessor.stop();
         }
     }
 
-    /// Whether this process has to outlive it still.
+    /// Whether this process still has to wait for the predecessor to end.
     pub(super) fn waits_for_predecessor(&self, now: f64) -> bool {
-        self.predecessor.is_some() && self.predecessor_ends_by.is_none_or(|at| now < at)
+        self.predecessor.is_some() && self.predecessor_deadline.is_none_or(|at| now < at)
     }
 
-    /// This process ends; one that is left behind may be killed with clients that were not told to move.
+    /// Counts a violation if this process ends before the predecessor, which may then be killed before its clients have moved.
     pub(super) fn leave_predecessor(&mut self) {
         if self.predecessor.take().is_some() {
             self.reducer.leaves_predecessor();
