--- a/crates/dewhead-proxy/src/control/client.rs
+++ b/crates/dewhead-proxy/src/control/client.rs
@@ -15,8 +15,8 @@
 ///
 /// # Errors
 ///
-/// The fault that the proxy responded with, or one line that names the socket: no process answers there, or its response
-/// is not valid.
+/// The fault that the proxy responded with, or one line that names the socket: no process answers there, or its
+/// response is not valid.
 pub fn send_request(
     socket: &Path,
     action: &str,
--- a/crates/dewhead-proxy/src/control/predecessor.rs
+++ b/crates/dewhead-proxy/src/control/predecessor.rs
@@ -1,6 +1,6 @@
 //! The process that this one takes over from. It is asked for its listening socket and its learned state, and its
-//! connection is watched until it ends. It may still serve its own clients for a minute, and a supervisor that knows only
-//! this process sends its stop signal only here, so this process passes it on.
+//! connection is watched until it ends. It may still serve its own clients for a minute, and a supervisor that knows
+//! only this process sends its stop signal only here, so this process passes it on.
 
 use super::client::{parse_response, RESPONSE_TIMEOUT};
 use super::protocol;
@@ -17,8 +17,8 @@
 /// Longest response with the learned state that is read.
 const MAX_HANDOVER_BYTES: usize = 64 << 20;
 
-/// A running process that has sent its listening socket and its learned state. It serves on until `confirm_takeover`; if
-/// this value is dropped before that, nothing changes there.
+/// A running process that has sent its listening socket and its learned state. It serves on until `confirm_takeover`;
+/// if this value is dropped before that, nothing changes there.
 pub struct Predecessor {
     stream: BufReader<BlockingUnixStream>,
     socket: PathBuf,
@@ -68,8 +68,8 @@
         Ok(Predecessor { stream, socket, listener, handover_state: response["handed"].clone() })
     }
 
-    /// Reports to the predecessor that this process has taken over. Once it responds, it accepts no more clients and moves its
-    /// own away over `seconds`. Returns the listening socket and the connection to the predecessor.
+    /// Reports to the predecessor that this process has taken over. Once it responds, it accepts no more clients and
+    /// moves its own away over `seconds`. Returns the listening socket and the connection to the predecessor.
     ///
     /// # Errors
     ///
--- a/crates/dewhead-proxy/src/control/socket.rs
+++ b/crates/dewhead-proxy/src/control/socket.rs
@@ -65,7 +65,8 @@
         Ok(ControlSocket { listener, path: Some(path.to_owned()), connections: [None, None, None, None] })
     }
 
-    /// Maps a token to the slot of its connection: `Some(None)` is the listener, `None` is no token of the control socket.
+    /// Maps a token to the slot of its connection: `Some(None)` is the listener, `None` is no token of the control
+    /// socket.
     pub fn connection_of(token: Token) -> Option<Option<usize>> {
         match token {
             LISTENER => Some(None),
--- a/crates/dewhead-proxy/src/event_loop.rs
+++ b/crates/dewhead-proxy/src/event_loop.rs
@@ -31,8 +31,8 @@
 const PREDECESSOR: Token = Token(4);
 /// First token of the client and server sockets of sessions.
 const FIRST_SESSION_TOKEN: usize = 5;
-/// Size of one read. It also bounds the bytes buffered for one socket, apart from messages of the proxy itself, as nothing
-/// is read from one side while the other side has unsent bytes.
+/// Size of one read. It also bounds the bytes buffered for one socket, apart from messages of the proxy itself, as
+/// nothing is read from one side while the other side has unsent bytes.
 const READ_BUFFER_BYTES: usize = 8192;
 /// Reads from one socket before the other sockets are served.
 const MAX_READS_PER_SOCKET: usize = 8;
@@ -40,8 +40,9 @@
 const MAX_POLL_EVENTS: usize = 1024;
 /// Timers wait until a poll returns fewer than `MAX_POLL_EVENTS` events, but for no more polls than this.
 const MAX_POLLS_WITHOUT_TICK: u32 = 16;
-/// A configuration file that is still being written when SIGHUP arrives can't be parsed, but is complete a moment later.
-/// It is read again at this interval until the limit: a new address of discovery must be in use 4 s after the signal.
+/// A configuration file that is still being written when SIGHUP arrives can't be parsed, but is complete a moment
+/// later. It is read again at this interval until the limit: a new address of discovery must be in use 4 s after the
+/// signal.
 const RELOAD_RETRY_SECONDS: f64 = 0.1;
 const RELOAD_RETRY_LIMIT_SECONDS: f64 = 3.0;
 
@@ -52,7 +53,9 @@
 /// Whether errors in the configuration are logged.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FaultLogging {
+    /// Errors are logged.
     On,
+    /// Errors are not logged, as the first attempt of the reload has logged them.
     Off,
 }
 
@@ -90,8 +93,9 @@
     pub signal_flags: Option<SignalFlags>,
     reloader: ConfigurationReloader,
     reload_retry: Option<ReloadRetry>,
-    /// The stage of the process, the notifier to the service manager and the control socket.
+    /// The stage of the process.
     stages: StageMachine,
+    /// Notifications to the service manager.
     pub notifier: Notifier,
     control_socket: Option<ControlSocket>,
     /// When to accept on the control socket again after a failure.
@@ -116,9 +120,9 @@
     accepting: bool,
     /// When to accept again, as more clients may be pending.
     accept_at: Option<f64>,
-    /// A failure to accept has been logged, and none was accepted since.
+    /// A failure to accept has been logged, and no client was accepted since.
     accept_failure_logged: bool,
-    /// Sockets on which a write failed.
+    /// Sockets on which a write or the registration failed.
     broken: VecDeque<End>,
     /// Sockets that may have more bytes to read.
     pending_reads: VecDeque<End>,
@@ -279,9 +283,9 @@
                 self.handle_stage_event(now, StageEvent::ReloadRequested);
             }
             self.close_broken_sockets(now);
-            // Timers run only after all earlier bytes are read. Otherwise a process that was held up for a second treats
-            // unread answers as missing, and turns away clients whose answer has arrived. One poll may not return all
-            // readable sockets.
+            // Timers run only after all earlier bytes are read. Otherwise a process that was held up for a second
+            // treats unread answers as missing, and turns away clients whose answer has arrived. One poll may not
+            // return all readable sockets.
             polls_since_tick += 1;
             if events.iter().count() < MAX_POLL_EVENTS || polls_since_tick > MAX_POLLS_WITHOUT_TICK {
                 polls_since_tick = 0;
@@ -310,7 +314,7 @@
         Ok(())
     }
 
-    /// Reports sockets on which a write failed as closed.
+    /// Reports the sockets in `broken` as closed.
     fn close_broken_sockets(&mut self, now: f64) {
         while let Some(end) = self.broken.pop_front() {
             // Bytes received before the failure are still valid, above all a final response.
@@ -402,8 +406,8 @@
         }
     }
 
-    /// Handles a completed connect to a server. The client is read first: its close may follow in the same batch of events,
-    /// and then the call must not be sent to the server.
+    /// Handles a completed connect to a server. The client is read first: its close may follow in the same batch of
+    /// events, and then the call must not be sent to the server.
     fn server_connected(&mut self, now: f64, leg: usize) {
         if let Some(client) = self.reducer.client_of(leg) {
             self.read(now, client);
@@ -453,7 +457,8 @@
     /// Reads from a socket, up to `MAX_READS_PER_SOCKET` times, and dispatches the bytes.
     fn read(&mut self, now: f64, end: End) {
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
-        // Without an established call little is expected; a client that sends more waits for the other sockets each time.
+        // Without an established call little is expected; a client that sends more waits for the other sockets each
+        // time.
         let reads = if self.reducer.other(end).is_some() { MAX_READS_PER_SOCKET } else { 1 };
         for _ in 0..reads {
             let other = self.reducer.other(end);
--- a/crates/dewhead-proxy/src/event_loop/control.rs
+++ b/crates/dewhead-proxy/src/event_loop/control.rs
@@ -33,7 +33,8 @@
         self.control_accept_at = (!all_accepted).then_some(now + ACCEPT_RETRY_SECONDS);
     }
 
-    /// Handles readiness of the control socket: the listener if `connection` is none, otherwise the connection in that slot.
+    /// Handles readiness of the control socket: the listener if `connection` is none, otherwise the connection in that
+    /// slot.
     pub(super) fn control_socket_ready(&mut self, now: f64, connection: Option<usize>) {
         let Some(socket) = &mut self.control_socket else { return };
         let Some(slot) = connection else { return self.accept_control_connections(now) };
@@ -56,7 +57,7 @@
         let closed = !self.control_socket.as_ref().is_some_and(|socket| socket.is_open(slot));
         if closed && self.successor_state == SuccessorState::Offered(slot) {
             // The successor failed or was killed. Nothing has changed in this process.
-            warn!("the successor ended before it took over; this process serves on");
+            warn!("the successor disconnected before it took over; this process serves on");
         }
         if closed
             && matches!(self.successor_state, SuccessorState::Offered(at) | SuccessorState::TookOver(at) if at == slot)
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Sends the listening socket and the learned state to a successor. Both processes accept clients until the successor
-    /// reports that it has taken over, or closes its connection.
+    /// Sends the listening socket and the learned state to a successor. Both processes accept clients until the
+    /// successor reports that it has taken over, or closes its connection.
     fn send_handover(&mut self, now: f64, slot: usize) -> Result<(), String> {
         let stage = self.stages.stage();
         if !matches!(stage, Stage::Ready | Stage::Waiting | Stage::Draining) {
--- a/crates/dewhead-proxy/src/event_loop/predecessor.rs
+++ b/crates/dewhead-proxy/src/event_loop/predecessor.rs
@@ -8,8 +8,8 @@
 use log::{info, warn};
 use std::os::unix::net::UnixStream;
 
-/// The predecessor is asked to stop a moment after this process and may take as long to stop, so this process waits this
-/// much longer. Otherwise, with clients that stay to the last, both end at the same time and either may be first.
+/// The predecessor is asked to stop a moment after this process and may take as long to stop, so this process waits
+/// this much longer. Otherwise, with clients that stay to the last, both end at the same time and either may be first.
 const PREDECESSOR_MARGIN_SECONDS: f64 = 0.05;
 
 impl EventLoop {
@@ -45,7 +45,8 @@
         self.predecessor.is_some() && self.predecessor_deadline.is_none_or(|at| now < at)
     }
 
-    /// Counts a violation if this process ends before the predecessor, which may then be killed before its clients have moved.
+    /// Counts a violation if this process ends before the predecessor, which may then be killed before its clients have
+    /// moved.
     pub(super) fn leave_predecessor(&mut self) {
         if self.predecessor.take().is_some() {
             self.reducer.leaves_predecessor();
--- a/crates/dewhead-proxy/src/lifecycle/configuration.rs
+++ b/crates/dewhead-proxy/src/lifecycle/configuration.rs
@@ -42,8 +42,9 @@
     pub restart_only: RestartOnlySettings,
 }
 
-/// Settings that can't change while the proxy runs, as open connections and the balancer depend on them, with their keys.
-/// `known` is also used only at the start, but is not among them: later, the list held is newer than any in a file.
+/// Settings that can't change while the proxy runs, as open connections and the balancer depend on them, with their
+/// keys. `known` is also used only at the start, but is not among them: later, the list held is newer than any in a
+/// file.
 pub struct RestartOnlySettings(Vec<(String, Value)>);
 
 impl RestartOnlySettings {
@@ -69,7 +70,8 @@
 }
 
 impl Configuration {
-    /// Like `load`, for the start of the process, which fails without a configuration: transient read errors are retried.
+    /// Like `load`, for the start of the process, which fails without a configuration: transient read errors are
+    /// retried.
     pub fn load_at_start(path: Option<&Path>) -> Result<Configuration, String> {
         Configuration::load_with(path, |path| persist(|| std::fs::read(path)))
     }
--- a/crates/dewhead-proxy/src/lifecycle/signals.rs
+++ b/crates/dewhead-proxy/src/lifecycle/signals.rs
@@ -1,8 +1,8 @@
 //! Signal handling: each handler sets a flag and writes a byte to a socket that wakes the event loop.
 //!
-//! The byte alone is not enough: the handler's write may fail, for lack of memory or because another signal arrives, and
-//! nothing retries it. The loop therefore checks the flag in every iteration, and the signal itself interrupts the wait
-//! during which it arrives.
+//! The byte alone is not enough: the handler's write may fail, for lack of memory or because another signal arrives,
+//! and nothing retries it. The loop therefore checks the flag in every iteration, and the signal itself interrupts the
+//! wait during which it arrives.
 
 use crate::transient::persist;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -31,6 +31,7 @@
 
 /// The registered handlers: their flags, and the sockets that wake the event loop.
 pub struct Signals {
+    /// The flags that the handlers set.
     pub flags: SignalFlags,
     /// Receives a byte for each SIGTERM and SIGINT.
     pub stop_wakeup: UnixStream,
--- a/crates/dewhead-proxy/src/lifecycle/stages.rs
+++ b/crates/dewhead-proxy/src/lifecycle/stages.rs
@@ -1,4 +1,5 @@
-//! The stages of the proxy process as a state machine without I/O: it takes events and returns the actions to carry out.
+//! The stages of the proxy process as a state machine without I/O: it takes events and returns the actions to carry
+//! out.
 //!
 //! Readiness is reported only once a server list is held. An event that does not apply in the current stage, such as a
 //! second SIGTERM, is ignored.
@@ -156,8 +157,8 @@
             }
             (Stage::Stopping, StageEvent::StopRequested | StageEvent::SuccessorTookOver)
             | (Stage::Retiring, StageEvent::SuccessorTookOver) => Vec::new(),
-            // The service manager now tracks the successor, so it gets no STOPPING=1 from this process. A signal still has
-            // to stop this process: when it was ignored as a second stop, SIGKILL cut off the remaining clients.
+            // The service manager now tracks the successor, so it gets no STOPPING=1 from this process. A signal still
+            // has to stop this process: when it was ignored as a second stop, SIGKILL cut off the remaining clients.
             (_, StageEvent::SuccessorTookOver) => self.enter(Stage::Retiring, &[]),
             (Stage::Retiring, StageEvent::StopRequested) => self.enter(Stage::Stopping, &[StageAction::Stop]),
             (_, StageEvent::StopRequested) => {
