--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -1,13 +1,13 @@
 //! All that changes: an event comes in, the state moves on, and the effects to carry out come back. No I/O and no
-//! clock. It owns the balancer, which asks for what it wants through `door`; discovery is followed in `watch`.
+//! clock. It owns the balancer, which asks for what it wants through `balancer_requests`; discovery is followed in `watch`.
 
+mod balancer_requests;
 mod clients;
-mod door;
+mod established;
+mod handover;
 mod legs;
-mod standing;
+mod shutdown;
 mod status;
-mod stopping;
-mod succession;
 mod watch;
 
 use crate::guard::cold_start::ColdStartLimit;
@@ -21,10 +21,10 @@
 use crate::wire::answers;
 use crate::wire::http::Answer;
 use crate::wire::listing::Version;
+use balancer_requests::{Asked, Door};
 use dewhead::state::Balancer;
 use dewhead::terms::{Ending, TrafficType};
 use dewhead_startup::{Known, Startup};
-use door::{Asked, Door};
 use log::{debug, info, warn};
 use oorandom::Rand64;
 use serde_json::Value;
