--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -425,7 +425,7 @@
                 }
                 Asked::Relocate(call) => {
                     if let Some(key) = self.session_of(call) {
-                        debug!("{}: is to be placed anew", self.sessions[key].who());
+                        debug!("{}: relocation requested", self.sessions[key].who());
                         self.move_away(now, key, Ending::Cancelled);
                     }
                 }
--- a/crates/dewhead-proxy/src/reducer/clients.rs
+++ b/crates/dewhead-proxy/src/reducer/clients.rs
@@ -187,7 +187,11 @@
                 session.wait = wait;
                 session.traffic = wanted.traffic;
                 let (id, until) = (session.id, wanted.until);
-                debug!("{}: opens, {}", session.who(), String::from_utf8_lossy(&session.head).trim_end());
+                debug!(
+                    "{}: request received: {}",
+                    session.who(),
+                    String::from_utf8_lossy(&session.head).trim_end()
+                );
                 self.loiter_no_more(key);
                 let session = &mut self.sessions[key];
                 match held_at.map(|at| std::str::from_utf8(&session.head[at]).map_or(0, number_of)) {
@@ -258,7 +262,7 @@
             return;
         }
         let said = String::from_utf8_lossy(&text);
-        debug!("{}: is told {}, {why}", self.sessions[key].who(), said.trim_end());
+        debug!("{}: final answer '{}', {why}", self.sessions[key].who(), said.trim_end());
         self.counters.answers.count(why.name());
         self.part(now, key);
         self.end_legs(now, key, CloseKind::Graceful);
@@ -300,7 +304,7 @@
     pub(super) fn close_all(&mut self, now: f64, key: usize, how: CloseKind, why: CloseReason) {
         let owed = self.owed(key, why);
         self.guard.closes(owed, &self.sessions[key].who());
-        debug!("{}: is closed, {why}", self.sessions[key].who());
+        debug!("{}: closed, {why}", self.sessions[key].who());
         self.counters.closes.count(why.name());
         self.end_legs(now, key, how);
         self.loiter_no_more(key);
--- a/crates/dewhead-proxy/src/reducer/established.rs
+++ b/crates/dewhead-proxy/src/reducer/established.rs
@@ -34,7 +34,7 @@
         let (asked, unanswered, asked_at) = (&mut session.asked, &mut session.unanswered, session.asked_at);
         session.down.feed(bytes, |line, _| match word(line) {
             Word::Load(load) => {
-                trace!("{}: loads server {:x} with {load}", who, out.server);
+                trace!("{}: load on server {:x} is {load}", who, out.server);
                 call.load_is(now, out.number, load);
             }
             Word::Bye => out.farewell = Some(Ending::Served),
--- a/crates/dewhead-proxy/src/reducer/legs.rs
+++ b/crates/dewhead-proxy/src/reducer/legs.rs
@@ -148,7 +148,11 @@
             farewell: None,
         });
         self.sessions[key].legs.push((number, leg));
-        debug!("{}: leg {number} to server {server:x}, for {:.3} s", self.sessions[key].who(), until - now);
+        debug!(
+            "{}: leg {number} to server {server:x}, time-out {:.3} s",
+            self.sessions[key].who(),
+            until - now
+        );
         self.descriptors.used += 1;
         self.effects.push(Effect::Connect(leg, to));
         true
@@ -258,7 +262,11 @@
         let session = &mut self.sessions[key];
         session.stage = Stage::Standing;
         session.head = Vec::new();
-        debug!("{}: stands at server {server:x}, {:.3} s after it was asked", session.who(), now - asked_at);
+        debug!(
+            "{}: established at server {server:x}, {:.3} s after the request was sent",
+            session.who(),
+            now - asked_at
+        );
         if let Some((_, wanted)) = session.returning.take() {
             let call = self.balancer.adopt(now, session.id, wanted, server);
             session.call = Some(call);
@@ -349,7 +357,7 @@
                 session.ran.get_or_insert(Sent { at: out.asked_at, zone: server.zone, cell: server.cell });
             }
         }
-        debug!("{}: leg {} at server {:x} ends: {ending:?}", session.who(), out.number, out.server);
+        debug!("{}: leg {} at server {:x} ended: {ending:?}", session.who(), out.number, out.server);
         if let Some(timer) = out.timer {
             self.timers.cancel(timer);
         }
--- a/tools/cold_servers.py
+++ b/tools/cold_servers.py
@@ -1,11 +1,13 @@
 #!/usr/bin/env python3
-"""How near all proxies together come to rule 4 on a day, from their logs (RUST_LOG=trace, as loads are wanted).
+"""How close all proxies together come to the limit of rule 4 on a day, from their logs (RUST_LOG=trace, for the loads).
 
 usage: cold_servers.py COLD_SHARE WARM_S MULTIPLE WINDOW_S FOLDER...
-The first four are told by the settings. A server bears its weight in mean loads as told. For each folder: how much was sent to
-cold servers in all; the servers that came nearest to the limit, N + 2 roots of N + 2 with N what these figures allow in the
-window, each with its part of the limit, weight, age, what was sent, N and the limit; and how often each tenth was reached.
-Servers are warmer and sooner warm than told: falls were first seen at about 3 times this reckoning.
+The first four come from the settings. A server's capacity is taken to be its weight in mean reported loads. For each folder,
+prints how many legs were sent to cold servers in all; the servers that came closest to the limit, N + 2 sqrt(N) + 2 where N
+is what these figures allow in the window, each with its fraction of the limit, weight, age, legs sent, N and the limit; and
+how often each tenth of the limit was reached.
+Servers are warmer, and warm sooner, than the settings say: the first drops in capacity were seen at about 3 times this
+estimate.
 """
 import collections
 import glob
@@ -15,7 +17,7 @@
 LINE = re.compile(r"^(\d+\.\d+) \[(\w+) +([\w:]+)\] (.*)$")
 LISTED = re.compile(r"server (\w+) is (\w+) in zone (\d+), of weight ([\d.]+), started ([-\w.]+)")
 LEG = re.compile(r"(\w{16}): leg (\d+) to server (\w+)")
-LOADS = re.compile(r"(\w{16}): loads server (\w+) with ([\d.e-]+)")
+LOAD = re.compile(r"(\w{16}): load on server (\w+) is ([\d.e-]+)")
 
 
 def main():
@@ -34,12 +36,12 @@
                         started[m[1]] = at - float(m[5])
                 elif m := LEG.match(text):
                     sent[m[3]].append(at)
-                elif m := LOADS.match(text):
+                elif m := LOAD.match(text):
                     loads.append(float(m[3]))
         if not loads:
-            sys.exit(f"{folder}: no loads are told; were the logs written with RUST_LOG=trace?")
+            sys.exit(f"{folder}: no load lines found; were the logs written with RUST_LOG=trace?")
         mean = sum(loads) / len(loads)
-        nearest, tenths, total = [], collections.Counter(), 0
+        closest, tenths, total = [], collections.Counter(), 0
         for server, start in started.items():
             ages = sorted(at - start for at in sent[server] if at >= start)
             total += sum(age < warm for age in ages)
@@ -55,10 +57,10 @@
                 if worst is None or count / limit > worst[0]:
                     worst = (round(count / limit, 2), server, weight[server], round(age, 1), count, round(allowed, 1), round(limit, 1))
             if worst:
-                nearest.append(worst)
+                closest.append(worst)
         print(folder, f"mean load {mean:.4f}, {len(started)} cold servers, sent while cold {total}")
-        for one in sorted(nearest, reverse=True)[:5]:
-            print("   ", *one)
+        for entry in sorted(closest, reverse=True)[:5]:
+            print("   ", *entry)
         print("    tenths of the limit:", dict(sorted(tenths.items())))
 
 
