--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -1,5 +1,6 @@
-//! All that changes: an event comes in, the state moves on, and the effects to carry out come back. No I/O and no
-//! clock. It owns the balancer, which asks for what it wants through `balancer_requests`; discovery is followed in `watch`.
+//! The proxy's state machine: applies one event at a time and returns the effects to carry out. It performs no I/O and
+//! reads no clock. It owns the balancer, whose requests arrive through `balancer_requests`; discovery is followed in
+//! `watch`.
 
 mod balancer_requests;
 mod clients;
@@ -21,7 +22,7 @@
 use crate::wire::answers;
 use crate::wire::http::Answer;
 use crate::wire::listing::Version;
-use balancer_requests::{Asked, Door};
+use balancer_requests::{BalancerRequest, RequestQueue};
 use dewhead::state::Balancer;
 use dewhead::terms::{Ending, TrafficType};
 use dewhead_startup::{Known, Startup};
@@ -35,243 +36,267 @@
 use std::rc::Rc;
 use watch::Watch;
 
-/// One end of a session: its client's connection, by the session's slot, or a leg's, by the leg's.
+/// One of a session's connections: its client's, by the session's slot, or a leg's, by the leg's slot.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Endpoint {
     Client(usize),
     Server(usize),
 }
 
+/// An input of the state machine. Bare `usize` values are leg slots.
 #[derive(Debug)]
 pub enum Event<'a> {
     /// A client has connected.
     Accepted,
+    /// Bytes were read from the endpoint.
     Bytes(Endpoint, &'a [u8]),
-    /// Nothing more comes from there: closed, or broken.
+    /// The endpoint sends nothing more: its peer closed the connection, or the connection failed.
     Closed(Endpoint, CloseKind),
+    /// The leg's connection is established.
     Connected(usize),
-    /// The connection did not come up.
+    /// The leg's connection could not be established.
     ConnectFailed(usize),
-    /// The connection could not be begun for want of something on this machine.
+    /// The leg's connection attempt could not be started because this machine lacked a resource.
     ConnectNotStarted(usize),
-    /// A leg's head is written to its last byte.
+    /// The last byte of the leg's request head is written.
     HeadWritten(usize),
+    /// The connection to discovery is established.
     WatchOpened,
+    /// Bytes were read from discovery.
     WatchBytes(&'a [u8]),
+    /// The connection to discovery ended or was not established.
     WatchLost,
-    /// Time has passed.
+    /// Time has passed: handles the timers that are due.
     Tick,
-    /// To stop, politely.
+    /// Stop gracefully.
     Stop,
-    /// To send all clients away over so many seconds and answer no front's `PING`, but not to end; and to serve again.
+    /// Move all clients away over this many seconds and answer no `PING` of a front, but keep running.
     Drain(f64),
+    /// Cancel the drain and serve again.
     Undrain,
-    /// Another process serves here from now on: clients leave over so many seconds, then the process ends.
+    /// Another process serves from now on: move all clients away over this many seconds, then exit.
     Retire(f64),
-    /// A new configuration holds: where discovery is now, and the most descriptors.
+    /// A new configuration is in force, with this address of discovery and this descriptor limit.
     Reconfigured(SocketAddr, usize),
 }
 
+/// How a connection was closed, or is to be closed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CloseKind {
+    /// By an orderly end of the stream.
     Graceful,
+    /// By a reset or another error.
     Abortive,
 }
 
+/// An operation that the reducer's host has to carry out.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// The client that has just connected is this session's.
+    /// The client that has just connected belongs to the session in this slot.
     AssignSession(usize),
+    /// Connect the leg to this address.
     Connect(usize, SocketAddr),
-    /// Write the session's first line to the leg, with another figure where the client's waiting time stands.
-    SendHead {
-        leg: usize,
-        session: usize,
-        timeout_range: Range<usize>,
-        timeout_ms: u64,
-    },
-    /// Pass on these of the event's bytes.
+    /// Write the session's first line to the leg, with `timeout_ms` in place of the bytes in `timeout_range`, which hold
+    /// the client's waiting time.
+    SendHead { leg: usize, session: usize, timeout_range: Range<usize>, timeout_ms: u64 },
+    /// Write this range of the event's bytes to the endpoint.
     Forward(Endpoint, Range<usize>),
+    /// Write these bytes to the endpoint.
     Write(Endpoint, Vec<u8>),
-    /// Shut for writing once all is written.
+    /// Shut the endpoint down for writing once all pending bytes are written.
     ShutdownWrite(Endpoint),
+    /// Close the endpoint's connection.
     Close(Endpoint, CloseKind),
+    /// Whether to accept further clients.
     SetAccepting(bool),
-    /// Ask discovery, which is at this address, for the changes since this version.
+    /// Request the changes since this version from discovery at this address.
     OpenWatch(SocketAddr, u64),
+    /// Close the connection to discovery.
     CloseWatch,
-    /// Nothing is owed to anybody known; who waits in the listener's queue still is.
+    /// No known client is owed anything any more; clients in the listener's queue may still be.
     Exit,
 }
 
 /// What a timer is for.
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum TimerKind {
     Balancer,
     Call(usize),
     Leg(usize),
     Session(usize),
-    Leave(usize),
+    /// Moves the session's client away during a drain or a stop.
+    MoveClient(usize),
     Watch,
-    /// Discovery has had its time to say what it knows at the start.
-    Confirmed,
-    /// Descriptors ran out a moment ago.
-    Room,
-    /// At a stop: once clients no longer come, when all who stand are told, and when time is up.
-    Empty,
-    LastWord,
+    /// Discovery has had its time to send the list after the start.
+    ConfirmationTimeout,
+    /// Checks for descriptors to free while none is left to accept with.
+    FreeDescriptors,
+    /// At a stop or a retirement: clients no longer arrive.
+    ArrivalsOver,
+    /// At a stop or a retirement: moves all clients that are still established.
+    FinalMoves,
+    /// At a stop or a retirement: the process exits, even with sessions open.
     Exit,
 }
 
-/// Descriptors in use against those allowed.
+/// Use of file descriptors.
 struct Descriptors {
     used: usize,
-    most: usize,
+    limit: usize,
     accepting: bool,
 }
 
 /// Descriptors that serve no session: standard streams, poll, listener, signals, discovery, and some in reserve.
-const FIXED: usize = 16;
-/// As many more are kept for clients that can only be told that there is no room.
-const TO_REFUSE: usize = 16;
-/// Clients go on coming for so long after a stop was asked for.
-const STILL_COMING: f64 = 0.45;
-/// The signs of slow messages, by their places in `Address::delays`.
-const LINES: usize = 0;
-const SETUPS: usize = 1;
-/// How slow messages are at a server is told this often at the most.
-const TELL_AGAIN: f64 = 1.0;
-/// A sound connection brings a line back at once, and one held back for longer than this is lost by itself: a connection
-/// that brings nothing for so long is lost. Waited for as long as clients wait for an answer, a lost zone's stood idle.
-const MOST_SILENT: f64 = 1.0;
-/// A line that a server has begun ends within this, or it does not end.
-const LINE_ENDS: f64 = 0.9;
-/// At the start discovery is heard before clients are, but for no longer than this part of the longest guard time: the
-/// agent answers at once, or is silent.
-const CONFIRMS: f64 = 1.0 / 16.0;
-/// What a server takes is not judged in a turn that came late by this part of it.
-const OWN_DELAY: f64 = 0.1;
-/// A session's slot in the call's id; the rest is its serial number.
+const RESERVED_DESCRIPTORS: usize = 16;
+/// Further descriptors that are kept for clients that can only be rejected for lack of descriptors.
+const REJECTION_DESCRIPTORS: usize = 16;
+/// Clients keep arriving for this many seconds after a stop was requested.
+const ARRIVALS_AFTER_STOP_S: f64 = 0.45;
+/// Indices into a server's message delays: those estimated from lines and from set-ups.
+const LINE_DELAY: usize = 0;
+const SETUP_DELAY: usize = 1;
+/// Minimum interval between two reports of a server's message delay to the balancer, in seconds.
+const DELAY_REPORT_INTERVAL_S: f64 = 1.0;
+/// A connection on which no line has answered the client's for this many seconds is treated as lost: a working server
+/// answers at once, and a line delayed for longer counts as lost itself. With the clients' waiting time as the limit,
+/// connections into a failed zone stayed idle for all of that time.
+const MAX_REPLY_SILENCE_S: f64 = 1.0;
+/// A line that a server has begun is completed within this many seconds, or never.
+const LINE_COMPLETION_TIMEOUT_S: f64 = 0.9;
+/// At the start, first lines are not processed until discovery has sent its list, but for no longer than this fraction of
+/// the longest guard time: the local agent either answers at once or not at all.
+const CONFIRMATION_TIMEOUT_SHARE: f64 = 1.0 / 16.0;
+/// A measured duration says nothing about a server if the iteration it ends in was late by more than this fraction of it.
+const MAX_OWN_DELAY_SHARE: f64 = 0.1;
+/// Low bits of a call's id that hold the session's slot; the others hold its serial number.
 const SLOT_BITS: u32 = 24;
 
+/// The state of a proxy process. Events enter by `step`, effects are collected with `take_effects`.
 pub struct Reducer {
     balancer: Rc<Balancer>,
-    door: Rc<Door>,
-    known: Known,
-    groups: bool,
-    connect_limit: f64,
-    longest_guard: f64,
-    began: f64,
-    /// Messages that take longer are told to the module.
-    slow_from: f64,
-    /// What a message is reckoned to take where set-ups take twice what they vary by themselves.
-    slow_unit: f64,
-    kinds: Kinds,
+    requests: Rc<RequestQueue>,
+    known_names: Known,
+    groups_enabled: bool,
+    connect_timeout: f64,
+    longest_guard_time: f64,
+    started_at: f64,
+    /// Messages that take longer than this are reported to the balancer, in seconds.
+    slow_message_threshold: f64,
+    /// The message delay that is assumed where set-ups take twice as long as their own variation explains, in seconds.
+    slow_setup_unit: f64,
+    setup_baselines: Kinds,
     sessions: Slab<Session>,
-    /// The ids that clients gave their open requests; one goes with its session's last word.
-    named: BTreeSet<u64>,
-    /// Sessions that only wait for their client, and since when, by the order they began to; one leaves when it is
-    /// taken up, or with its slot.
-    loiterers: BTreeMap<u64, (usize, f64)>,
+    /// Ids that clients gave their open requests; an entry is removed with the session's final answer.
+    open_request_ids: BTreeSet<u64>,
+    /// Sessions that only wait for their client, in the order in which they began to, with their slot and that time. An
+    /// entry is removed when its session is active again or its slot is freed.
+    idle_sessions: BTreeMap<u64, (usize, f64)>,
     legs: Slab<Out>,
     servers: Servers,
-    traffic: Vec<TrafficType>,
-    two_at_once: bool,
+    traffic_types: Vec<TrafficType>,
+    /// Whether a call may have two attempts out at the same time.
+    parallel_attempts: bool,
     guard: Guard,
     cold_start: ColdStartLimit,
     weights_are_sizes: bool,
     counters: Counters,
     wall_clock: WallClock,
-    timers: Timers<Due>,
-    serial: u64,
+    timers: Timers<TimerKind>,
+    last_serial: u64,
     watch: Watch,
-    /// Since when clients are sent away, and over how long; and whether the process ends with the last.
-    stopping: Option<f64>,
-    spread: f64,
-    ends: bool,
-    /// Whether a signal has asked for the end; a hand-over alone leaves more time.
-    stops: bool,
-    /// At a stop: by when whoever waits has its answer.
-    answered_by: Option<f64>,
-    time_is_up: bool,
-    /// All that came by then has been read; and by how much this turn came later than it was meant to.
-    looked_at: f64,
-    held_up: f64,
-    /// The list held is from before the start, and discovery may have told of drains since: no first line is read yet.
-    unconfirmed: bool,
+    /// Since when clients are moved away, and over how many seconds.
+    draining_since: Option<f64>,
+    drain_spread: f64,
+    /// Whether the process exits with its last session.
+    exits_when_empty: bool,
+    /// Whether a signal has requested the stop; a handover alone leaves more time.
+    stop_requested: bool,
+    /// At a stop or a retirement: when every waiting client must have its answer.
+    answer_deadline: Option<f64>,
+    /// At a stop or a retirement: whether the process must exit now.
+    exit_due: bool,
+    /// Everything that arrived until `polled_at` has been read; this iteration began `iteration_delay` seconds late.
+    polled_at: f64,
+    iteration_delay: f64,
+    /// The current list is from before the start, and discovery may have announced drains since: no first line is
+    /// processed until it is confirmed.
+    list_unconfirmed: bool,
     descriptors: Descriptors,
-    chance: Rand64,
+    rng: Rand64,
     effects: Vec<Effect>,
 }
 
 impl Reducer {
+    /// Creates the state at process start. `remembered` is the list of an earlier process, or null.
     pub fn new(
         now: f64,
         startup: Startup,
         seed: u128,
         discovery: SocketAddr,
-        most_descriptors: usize,
+        descriptor_limit: usize,
         remembered: &Value,
     ) -> Reducer {
-        let door = Rc::new(Door::default());
-        let (groups, must_ask) = (startup.groups, startup.must_ask);
-        let (connect_limit, longest_guard) = (startup.connect_limit, startup.longest_guard);
-        let slow_from = startup.shortest_message / 3.0;
-        let slow_unit = longest_guard / 30.0;
-        let kinds = Kinds::new(startup.known.traffic.len());
-        let (traffic, two_at_once) = (startup.traffic().to_vec(), startup.two_at_once());
+        let requests = Rc::new(RequestQueue::default());
+        let (groups_enabled, must_ask) = (startup.groups, startup.must_ask);
+        let (connect_timeout, longest_guard_time) = (startup.connect_limit, startup.longest_guard);
+        let slow_message_threshold = startup.shortest_message / 3.0;
+        let slow_setup_unit = longest_guard_time / 30.0;
+        let setup_baselines = Kinds::new(startup.known.traffic.len());
+        let (traffic_types, parallel_attempts) = (startup.traffic().to_vec(), startup.two_at_once());
         let slow_start = startup.slow_start();
-        let (balancer, known) = startup.balancer(seed, door.clone());
+        let (balancer, known_names) = startup.balancer(seed, requests.clone());
         let mut reducer = Reducer {
             balancer,
-            door,
-            known,
-            groups,
-            connect_limit,
-            longest_guard,
-            began: now,
-            slow_from,
-            slow_unit,
-            kinds,
+            requests,
+            known_names,
+            groups_enabled,
+            connect_timeout,
+            longest_guard_time,
+            started_at: now,
+            slow_message_threshold,
+            slow_setup_unit,
+            setup_baselines,
             sessions: Slab::new(),
-            named: BTreeSet::new(),
-            loiterers: BTreeMap::new(),
+            open_request_ids: BTreeSet::new(),
+            idle_sessions: BTreeMap::new(),
             legs: Slab::new(),
             servers: Servers::default(),
-            traffic,
-            two_at_once,
+            traffic_types,
+            parallel_attempts,
             guard: Guard::default(),
             weights_are_sizes: slow_start.weights_are_sizes,
             cold_start: ColdStartLimit::new(slow_start),
             counters: Counters::default(),
             wall_clock: WallClock::default(),
             timers: Timers::default(),
-            serial: 0,
-            watch: Watch::of(discovery),
-            stopping: None,
-            spread: 0.0,
-            ends: false,
-            stops: false,
-            answered_by: None,
-            time_is_up: false,
-            looked_at: f64::INFINITY,
-            held_up: 0.0,
-            unconfirmed: false,
-            descriptors: Descriptors { used: FIXED, most: most_descriptors, accepting: true },
-            chance: Rand64::new(seed ^ 1),
+            last_serial: 0,
+            watch: Watch::new(discovery),
+            draining_since: None,
+            drain_spread: 0.0,
+            exits_when_empty: false,
+            stop_requested: false,
+            answer_deadline: None,
+            exit_due: false,
+            polled_at: f64::INFINITY,
+            iteration_delay: 0.0,
+            list_unconfirmed: false,
+            descriptors: Descriptors { used: RESERVED_DESCRIPTORS, limit: descriptor_limit, accepting: true },
+            rng: Rand64::new(seed ^ 1),
             effects: Vec::new(),
         };
         reducer.balancer.begin(now);
         if !remembered.is_null() {
-            let told = Version::told(remembered, &reducer.known.zones);
-            reducer.list(now, told, true);
-            reducer.unconfirmed = reducer.has_server_list();
-            reducer.timers.set(now + CONFIRMS * longest_guard, Due::Confirmed);
+            let version = Version::told(remembered, &reducer.known_names.zones);
+            reducer.apply_list(now, version, true);
+            reducer.list_unconfirmed = reducer.has_server_list();
+            reducer
+                .timers
+                .set(now + CONFIRMATION_TIMEOUT_SHARE * longest_guard_time, TimerKind::ConfirmationTimeout);
         }
         if !must_ask {
-            reducer.follow(now);
+            reducer.open_watch(now);
         }
-        reducer.settle(now);
+        reducer.process_balancer_requests(now);
         reducer
     }
 
@@ -280,22 +305,24 @@
         self.timers.next()
     }
 
-    /// The turn that begins brings all that came by `at`, and comes so many seconds late. Held up between looking and
-    /// reading its clock, the process judged by a time that nothing had been looked for until.
-    pub fn set_poll_times(&mut self, at: f64, late: f64) {
-        (self.looked_at, self.held_up) = (at, late);
+    /// Sets the times of the iteration that begins now: it delivers everything that arrived until `polled_at`, and starts
+    /// `delay` seconds late. Timers are compared with `polled_at` and not with the clock read after the poll: a process suspended between the
+    /// two would take input that it had not looked for yet for missing.
+    pub fn set_poll_times(&mut self, polled_at: f64, delay: f64) {
+        (self.polled_at, self.iteration_delay) = (polled_at, delay);
     }
 
-    /// The wall clock shows so many seconds more than the clock of `now`: it has been stepped since the start.
-    pub fn observe_wall_clock(&mut self, by: f64) {
-        if let Some(step) = self.wall_clock.observe(by) {
+    /// Records by how many seconds the wall clock is ahead of the process's clock: the sum of the wall clock's steps
+    /// since the start.
+    pub fn observe_wall_clock(&mut self, ahead: f64) {
+        if let Some(step) = self.wall_clock.observe(ahead) {
             warn!("the wall clock was stepped by {step:.3} s");
         }
     }
 
-    /// Whether a time that ends in this turn tells of a server, and not of our own delay.
-    fn tells(&self, took: f64) -> bool {
-        self.held_up <= OWN_DELAY * took
+    /// Whether a duration measured in this iteration is due to a server and not to this process's own delay.
+    fn is_server_delay(&self, duration: f64) -> bool {
+        self.iteration_delay <= MAX_OWN_DELAY_SHARE * duration
     }
 
     /// A session's first line, for `Effect::SendHead`.
@@ -303,53 +330,55 @@
         self.sessions.get(session).map_or(&[], |s| &s.head)
     }
 
-    /// Where bytes from this end go once the call stands.
-    pub fn peer_of(&self, end: Endpoint) -> Option<Endpoint> {
-        match end {
+    /// The endpoint that bytes from this one are forwarded to once the call is established.
+    pub fn peer_of(&self, endpoint: Endpoint) -> Option<Endpoint> {
+        match endpoint {
             Endpoint::Client(key) => self.sessions.get(key)?.bound().map(Endpoint::Server),
             Endpoint::Server(leg) => self.client_of(leg),
         }
     }
 
-    /// The client that a leg is out for.
+    /// The client that a leg belongs to.
     pub fn client_of(&self, leg: usize) -> Option<Endpoint> {
         Some(Endpoint::Client(self.legs.get(leg)?.session))
     }
 
-    /// Sessions and legs open, and descriptors counted for them.
+    /// Numbers of open sessions, of open legs, and of descriptors accounted to them.
     pub fn open_counts(&self) -> (usize, usize, usize) {
-        (self.sessions.len(), self.legs.len(), self.descriptors.used - FIXED)
+        (self.sessions.len(), self.legs.len(), self.descriptors.used - RESERVED_DESCRIPTORS)
     }
 
-    /// Timers that wait; each belongs to a session, a leg, the watch, the balancer or a stop.
+    /// Number of pending timers; each belongs to a session, a leg, the watch, the balancer or a stop.
     pub fn timer_count(&self) -> usize {
         self.timers.count()
     }
 
-    /// Whether servers are known.
+    /// Whether a list that names servers is held.
     pub fn has_server_list(&self) -> bool {
         !self.servers.0.is_empty()
     }
 
+    /// Returns the effects since the last call, in the order in which they must be carried out.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
+    /// Applies one event at time `now`, in seconds.
     pub fn step(&mut self, now: f64, event: Event) {
         match event {
-            Event::Accepted => self.accepted(now),
-            Event::Bytes(Endpoint::Client(key), bytes) => self.client_said(now, key, bytes),
-            Event::Bytes(Endpoint::Server(leg), bytes) => self.server_said(now, leg, bytes),
-            Event::Closed(Endpoint::Client(key), how) => self.client_closed(now, key, how),
-            Event::Closed(Endpoint::Server(leg), how) => self.server_closed(now, leg, how),
-            Event::Connected(leg) => self.connected(now, leg),
-            Event::ConnectFailed(leg) => self.refused(now, leg),
-            Event::ConnectNotStarted(leg) => self.dial_later(now, leg),
+            Event::Accepted => self.handle_accepted(now),
+            Event::Bytes(Endpoint::Client(key), bytes) => self.handle_client_bytes(now, key, bytes),
+            Event::Bytes(Endpoint::Server(leg), bytes) => self.handle_server_bytes(now, leg, bytes),
+            Event::Closed(Endpoint::Client(key), kind) => self.handle_client_closed(now, key, kind),
+            Event::Closed(Endpoint::Server(leg), kind) => self.handle_server_closed(now, leg, kind),
+            Event::Connected(leg) => self.handle_connected(now, leg),
+            Event::ConnectFailed(leg) => self.handle_connect_failed(now, leg),
+            Event::ConnectNotStarted(leg) => self.postpone_connect(now, leg),
             Event::HeadWritten(leg) => {
                 if let Some(out) = self.legs.get_mut(leg).filter(|l| l.stage == LegStage::Connecting) {
                     out.stage = LegStage::Asked;
                     out.asked_at = now;
-                    let fresh = self.timers.set(out.until, Due::Leg(leg));
+                    let fresh = self.timers.set(out.until, TimerKind::Leg(leg));
                     if let Some(old) = out.timer.replace(fresh) {
                         self.timers.cancel(old);
                     }
@@ -358,148 +387,152 @@
             Event::WatchOpened => {
                 self.watch.answer = Some(Answer::default());
             }
-            Event::WatchBytes(bytes) => self.watched(now, bytes),
-            Event::WatchLost => self.watch_lost(now),
+            Event::WatchBytes(bytes) => self.handle_watch_bytes(now, bytes),
+            Event::WatchLost => self.handle_watch_lost(now),
             Event::Tick => {
-                while let Some(due) = self.timers.pop(now.min(self.looked_at)) {
-                    self.due(now, due);
-                    self.settle(now);
+                while let Some(timer) = self.timers.pop(now.min(self.polled_at)) {
+                    self.handle_timer(now, timer);
+                    self.process_balancer_requests(now);
                 }
             }
-            Event::Stop => self.stop(now),
-            Event::Drain(spread) => self.drain(now, spread),
-            Event::Undrain => self.undrain(),
-            Event::Retire(spread) => self.retire(now, spread),
-            Event::Reconfigured(discovery, most) => {
-                self.descriptors.most = most;
-                self.make_room(now);
-                self.weigh(now);
-                self.follow_elsewhere(now, discovery);
+            Event::Stop => self.begin_stop(now),
+            Event::Drain(spread) => self.begin_drain(now, spread),
+            Event::Undrain => self.cancel_drain(),
+            Event::Retire(spread) => self.begin_retirement(now, spread),
+            Event::Reconfigured(discovery, limit) => {
+                self.descriptors.limit = limit;
+                self.free_descriptors(now);
+                self.update_accepting(now);
+                self.switch_discovery(now, discovery);
             }
         }
-        self.settle(now);
+        self.process_balancer_requests(now);
         if self.is_finished(now) {
             self.effects.push(Effect::Exit);
         }
     }
 
-    fn session_of(&self, call: u64) -> Option<usize> {
+    /// The session that a call's id belongs to, if it is still open.
+    fn find_session(&self, call: u64) -> Option<usize> {
         let key = (call & ((1 << SLOT_BITS) - 1)) as usize;
         self.sessions.get(key).filter(|s| s.id == call).map(|_| key)
     }
 
-    /// Carries out what the balancer has asked for, and what it asks for meanwhile.
-    fn settle(&mut self, now: f64) {
+    /// Carries out the balancer's pending requests, and those that it makes meanwhile.
+    fn process_balancer_requests(&mut self, now: f64) {
         loop {
-            let next = self.door.asked.borrow_mut().pop_front();
-            let Some(asked) = next else { return };
-            match asked {
-                Asked::Send(call, server, limit) => {
-                    if let Some(key) = self.session_of(call) {
-                        self.send(now, key, server, limit);
+            let next = self.requests.pending.borrow_mut().pop_front();
+            let Some(request) = next else { return };
+            match request {
+                BalancerRequest::Send(call, server, timeout) => {
+                    if let Some(key) = self.find_session(call) {
+                        self.send_attempt(now, key, server, timeout);
                     }
                 }
-                Asked::Reject(call, stay_away) => {
-                    if let Some(key) = self.session_of(call) {
-                        self.answer(now, key, answers::busy(stay_away), AnswerReason::Refused);
+                BalancerRequest::Reject(call, retry_after) => {
+                    if let Some(key) = self.find_session(call) {
+                        self.send_final_answer(now, key, answers::busy(retry_after), AnswerReason::Refused);
                     }
                 }
-                Asked::Release(call) => {
-                    if let Some(key) = self.session_of(call) {
-                        self.answer(now, key, answers::FAILED.to_vec(), AnswerReason::GaveUp);
+                BalancerRequest::Release(call) => {
+                    if let Some(key) = self.find_session(call) {
+                        self.send_final_answer(now, key, answers::FAILED.to_vec(), AnswerReason::GaveUp);
                     }
                 }
-                Asked::Refused(call, why) => {
-                    self.counters.refusals.count(why.name());
-                    if let Some(key) = self.session_of(call) {
-                        debug!("{}: no further attempt: {why}", self.sessions[key].who());
+                BalancerRequest::RecordRefusal(call, reason) => {
+                    self.counters.refusals.count(reason.name());
+                    if let Some(key) = self.find_session(call) {
+                        debug!("{}: no further attempt: {reason}", self.sessions[key].who());
                     }
                 }
-                Asked::Withdraw(call, number) => {
-                    let legs = self.session_of(call).map(|key| &self.sessions[key].legs);
+                BalancerRequest::Withdraw(call, number) => {
+                    let legs = self.find_session(call).map(|key| &self.sessions[key].legs);
                     let leg =
                         legs.and_then(|l| l.iter().find(|(n, _)| *n == number as usize)).map(|(_, l)| *l);
                     if let Some(leg) = leg {
                         self.end_leg(now, leg, Ending::Cancelled, false, CloseKind::Abortive);
                     }
                 }
-                Asked::Relocate(call) => {
-                    if let Some(key) = self.session_of(call) {
+                BalancerRequest::Relocate(call) => {
+                    if let Some(key) = self.find_session(call) {
                         debug!("{}: relocation requested", self.sessions[key].who());
-                        self.move_away(now, key, Ending::Cancelled);
+                        self.move_client(now, key, Ending::Cancelled);
                     }
                 }
-                Asked::WakeCall(call, at) => {
-                    if let Some(key) = self.session_of(call) {
-                        let fresh = self.timers.set(at, Due::Call(key));
-                        self.replace_wake(key, Some(fresh));
+                BalancerRequest::SetCallTimer(call, at) => {
+                    if let Some(key) = self.find_session(call) {
+                        let fresh = self.timers.set(at, TimerKind::Call(key));
+                        self.replace_wake_timer(key, Some(fresh));
                     }
                 }
-                Asked::Wake(at) => {
-                    self.timers.set(at, Due::Balancer);
+                BalancerRequest::SetBalancerTimer(at) => {
+                    self.timers.set(at, TimerKind::Balancer);
                 }
-                Asked::Follow => self.follow(now),
-                Asked::Remark(text) => info!("{text}"),
+                BalancerRequest::FollowList => self.open_watch(now),
+                BalancerRequest::LogMessage(text) => info!("{text}"),
             }
         }
     }
 
-    fn replace_wake(&mut self, key: usize, fresh: Option<Timer>) {
+    /// Replaces the session's wake timer, which serves its call, or its move during a drain.
+    fn replace_wake_timer(&mut self, key: usize, fresh: Option<Timer>) {
         if let Some(old) = std::mem::replace(&mut self.sessions[key].wake, fresh) {
             self.timers.cancel(old);
         }
     }
 
-    fn replace_timer(&mut self, key: usize, at: Option<f64>) {
-        let fresh = at.map(|at| self.timers.set(at, Due::Session(key)));
+    /// Replaces the timer that limits the session's present stage.
+    fn replace_stage_timer(&mut self, key: usize, at: Option<f64>) {
+        let fresh = at.map(|at| self.timers.set(at, TimerKind::Session(key)));
         if let Some(old) = std::mem::replace(&mut self.sessions[key].timer, fresh) {
             self.timers.cancel(old);
         }
     }
 
-    fn due(&mut self, now: f64, due: Due) {
-        match due {
-            Due::Balancer => self.balancer.woken(now),
-            Due::Call(key) => {
+    /// Handles a timer that is due.
+    fn handle_timer(&mut self, now: f64, timer: TimerKind) {
+        match timer {
+            TimerKind::Balancer => self.balancer.woken(now),
+            TimerKind::Call(key) => {
                 self.sessions[key].wake = None;
                 if let Some(call) = self.sessions[key].call.clone() {
                     call.woken(now);
                 }
             }
-            Due::Leg(leg) if self.legs[leg].stage == LegStage::Queued => self.redial(now, leg),
-            Due::Leg(leg) => {
+            TimerKind::Leg(leg) if self.legs[leg].stage == LegStage::Queued => self.retry_connect(now, leg),
+            TimerKind::Leg(leg) => {
                 let out = &mut self.legs[leg];
                 out.timer = None;
                 let ending = match out.stage {
                     LegStage::Connecting => Ending::Unreachable,
                     _ => Ending::TimedOut,
                 };
-                self.leg_failed(now, leg, ending);
+                self.fail_leg(now, leg, ending);
             }
-            Due::Session(key) => {
+            TimerKind::Session(key) => {
                 self.sessions[key].timer = None;
-                self.session_due(now, key);
+                self.handle_session_timer(now, key);
             }
-            Due::Leave(key) => {
+            TimerKind::MoveClient(key) => {
                 self.sessions[key].wake = None;
-                self.move_away(now, key, Ending::Cancelled);
+                self.move_client(now, key, Ending::Cancelled);
             }
-            Due::Watch => {
+            TimerKind::Watch => {
                 self.watch.timer = None;
-                if std::mem::take(&mut self.watch.pausing) {
-                    self.follow(now);
+                if std::mem::take(&mut self.watch.retry_pending) {
+                    self.open_watch(now);
                 } else {
-                    self.watch_fault(now, "it is silent");
+                    self.abort_watch(now, "no data received in time");
                 }
             }
-            Due::Room => {
-                self.make_room(now);
-                self.look_for_room(now);
+            TimerKind::FreeDescriptors => {
+                self.free_descriptors(now);
+                self.schedule_descriptor_check(now);
             }
-            Due::Empty => {}
-            Due::Confirmed => self.confirm(now),
-            Due::LastWord => self.say_last_word(now),
-            Due::Exit => self.time_is_up = true,
+            TimerKind::ArrivalsOver => {}
+            TimerKind::ConfirmationTimeout => self.confirm_list(now),
+            TimerKind::FinalMoves => self.move_remaining_clients(now),
+            TimerKind::Exit => self.exit_due = true,
         }
     }
 }
--- a/crates/dewhead-proxy/src/reducer/balancer_requests.rs
+++ b/crates/dewhead-proxy/src/reducer/balancer_requests.rs
@@ -1,67 +1,80 @@
-//! The door between the balancer and the reducer: what is asked for waits here until the step goes on.
+//! The balancer's requests to its host. They are queued here, as the balancer makes them while the reducer calls it, and
+//! carried out by the reducer after that call.
 
 use dewhead::outward::Outward;
 use dewhead::refusal::Refusal;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 
-pub enum Asked {
+/// One call of the balancer's host interface, with its arguments.
+pub enum BalancerRequest {
+    /// Start an attempt: call, server, and time-out in seconds.
     Send(u64, u64, f64),
+    /// Reject a call, with the seconds after which its client may try again.
     Reject(u64, Option<f64>),
+    /// Release a call, with no promise about its effect.
     Release(u64),
-    Refused(u64, Refusal),
+    /// Count the reason why a call gets no further attempt.
+    RecordRefusal(u64, Refusal),
+    /// Withdraw one leg of a call, by its number in the call.
     Withdraw(u64, u32),
+    /// Move the client of an established call away.
     Relocate(u64),
-    WakeCall(u64, f64),
-    Wake(f64),
-    Follow,
-    Remark(String),
+    /// Set a call's timer.
+    SetCallTimer(u64, f64),
+    /// Set a timer of the balancer's own.
+    SetBalancerTimer(f64),
+    /// Follow the list of servers.
+    FollowList,
+    /// Log a message for the operators.
+    LogMessage(String),
 }
 
+/// The host interface that the balancer is given: a queue in the order of the calls.
 #[derive(Default)]
-pub struct Door {
-    pub asked: RefCell<VecDeque<Asked>>,
+pub struct RequestQueue {
+    pub pending: RefCell<VecDeque<BalancerRequest>>,
 }
 
-impl Door {
-    fn ask(&self, what: Asked) {
-        self.asked.borrow_mut().push_back(what);
+impl RequestQueue {
+    fn enqueue(&self, request: BalancerRequest) {
+        self.pending.borrow_mut().push_back(request);
     }
 }
 
-impl Outward for Door {
-    fn send(&self, call: u64, server: u64, limit: f64) {
-        self.ask(Asked::Send(call, server, limit));
+impl Outward for RequestQueue {
+    fn send(&self, call: u64, server: u64, timeout: f64) {
+        self.enqueue(BalancerRequest::Send(call, server, timeout));
     }
-    fn reject(&self, call: u64, stay_away: Option<f64>) {
-        self.ask(Asked::Reject(call, stay_away));
+    fn reject(&self, call: u64, retry_after: Option<f64>) {
+        self.enqueue(BalancerRequest::Reject(call, retry_after));
     }
     fn release(&self, call: u64) {
-        self.ask(Asked::Release(call));
+        self.enqueue(BalancerRequest::Release(call));
     }
-    fn refused(&self, call: u64, why: Refusal) {
-        self.ask(Asked::Refused(call, why));
+    fn refused(&self, call: u64, reason: Refusal) {
+        self.enqueue(BalancerRequest::RecordRefusal(call, reason));
     }
     fn withdraw(&self, call: u64, leg: u32) {
-        self.ask(Asked::Withdraw(call, leg));
+        self.enqueue(BalancerRequest::Withdraw(call, leg));
     }
     fn relocate(&self, call: u64) {
-        self.ask(Asked::Relocate(call));
+        self.enqueue(BalancerRequest::Relocate(call));
     }
     fn wake_call(&self, call: u64, at: f64) {
-        self.ask(Asked::WakeCall(call, at));
+        self.enqueue(BalancerRequest::SetCallTimer(call, at));
     }
     fn wake(&self, at: f64) {
-        self.ask(Asked::Wake(at));
+        self.enqueue(BalancerRequest::SetBalancerTimer(at));
     }
     fn follow_list(&self) {
-        self.ask(Asked::Follow);
+        self.enqueue(BalancerRequest::FollowList);
     }
-    // Servers on sockets have no word for it.
+    // The protocol of servers on sockets has no message for a probe.
     fn probe(&self, _: u64) -> bool {
         false
     }
     fn remark(&self, text: &str) {
-        self.ask(Asked::Remark(text.to_owned()));
+        self.enqueue(BalancerRequest::LogMessage(text.to_owned()));
     }
 }
--- a/crates/dewhead-proxy/src/reducer/clients.rs
+++ b/crates/dewhead-proxy/src/reducer/clients.rs
@@ -1,6 +1,9 @@
-//! Clients: from being accepted to their first line understood, and from their last word to their slot given back.
+//! Client connections: from being accepted until the first line is processed, and from the final answer until the
+//! session's slot is freed.
 
-use super::{CloseKind, Due, Effect, Endpoint, Reducer, MOST_SILENT, SLOT_BITS, TO_REFUSE};
+use super::{
+    CloseKind, Effect, Endpoint, Reducer, TimerKind, MAX_REPLY_SILENCE_S, REJECTION_DESCRIPTORS, SLOT_BITS,
+};
 use crate::guard::Owed;
 use crate::memory::counters::{AnswerReason, CloseReason};
 use crate::memory::sessions::{LegStage, Session, Stage};
@@ -11,25 +14,27 @@
 use dewhead::terms::{Ending, Wanted};
 use log::debug;
 
-/// A client's first line has come by then, whatever it says before: less than the three seconds within which one that
-/// sends none is owed an end.
-const FIRST_LINE: f64 = 2.5;
-/// A connection that was there before the start is put back by then, or its client is sent away.
-const PUT_BACK: f64 = 40.0;
-/// So many signs of life are given on one connection.
-const MOST_PINGS: u32 = 4;
-/// Room is made once fewer descriptors are left than this part of them, one in so many.
-const SPARE: usize = 8;
-/// Nobody has to make room before having had this long to speak, or to read a last word.
-const LET_SPEAK: f64 = 0.1;
+/// Time for a client's first `OPEN` line, in seconds, whatever it sends before: less than the three seconds within which a
+/// client that sends none must be closed.
+const FIRST_LINE_TIMEOUT_S: f64 = 2.5;
+/// A client that names the server it was established at is restored there within this many seconds, or given up.
+const RESTORE_TIMEOUT_S: f64 = 40.0;
+/// Most `PING` lines that are answered on one connection.
+const MAX_PINGS: u32 = 4;
+/// Idle sessions are closed once fewer than one in this many descriptors is free.
+const MIN_FREE_DIVISOR: usize = 8;
+/// No session is closed for its descriptor before it has been idle for this many seconds, in which its client can send its
+/// first line, or read its final answer.
+const MIN_IDLE_S: f64 = 0.1;
 
 impl Reducer {
-    pub(super) fn accepted(&mut self, now: f64) {
-        self.serial += 1;
+    /// Creates the session of a client that has just connected.
+    pub(super) fn handle_accepted(&mut self, now: f64) {
+        self.last_serial += 1;
         let entry = self.sessions.vacant_entry();
         let key = entry.key();
         entry.insert(Session {
-            id: self.serial << SLOT_BITS | key as u64,
+            id: self.last_serial << SLOT_BITS | key as u64,
             stage: Stage::Greeting,
             named: None,
             loiters: None,
@@ -52,75 +57,81 @@
             returning: None,
         });
         self.effects.push(Effect::AssignSession(key));
-        self.replace_timer(key, Some(now + FIRST_LINE));
-        self.loiter(now, key);
+        self.replace_stage_timer(key, Some(now + FIRST_LINE_TIMEOUT_S));
+        self.mark_idle(now, key);
         self.descriptors.used += 1;
-        self.make_room(now);
-        self.weigh(now);
+        self.free_descriptors(now);
+        self.update_accepting(now);
     }
 
-    /// The session only waits for its client from now on: for its first line, or for it to go.
-    fn loiter(&mut self, now: f64, key: usize) {
-        self.loiter_no_more(key);
-        self.serial += 1;
-        self.sessions[key].loiters = Some(self.serial);
-        self.loiterers.insert(self.serial, (key, now));
+    /// Marks the session as idle: it only waits for its client to send its first line, or to close the connection.
+    fn mark_idle(&mut self, now: f64, key: usize) {
+        self.clear_idle(key);
+        self.last_serial += 1;
+        self.sessions[key].loiters = Some(self.last_serial);
+        self.idle_sessions.insert(self.last_serial, (key, now));
     }
 
-    fn loiter_no_more(&mut self, key: usize) {
-        if let Some(place) = self.sessions[key].loiters.take() {
-            self.loiterers.remove(&place);
+    /// Marks the session as no longer idle.
+    fn clear_idle(&mut self, key: usize) {
+        if let Some(serial) = self.sessions[key].loiters.take() {
+            self.idle_sessions.remove(&serial);
         }
     }
 
-    /// When few descriptors are left, those who have waited longest for nothing go first. Else hundreds of connections
-    /// that say nothing, or don't go once answered, would keep usual clients out for as long as their timers run.
-    pub(super) fn make_room(&mut self, now: f64) {
-        while self.descriptors.most.saturating_sub(self.descriptors.used) < self.descriptors.most / SPARE {
-            match self.loiterers.first_key_value() {
-                Some((_, &(key, since))) if now - since >= LET_SPEAK => {
-                    self.close_all(now, key, CloseKind::Graceful, CloseReason::MadeRoom)
+    /// Closes idle sessions, those that have been idle for longest first, while few descriptors are free. Otherwise hundreds
+    /// of connections that send nothing, or are not closed once answered, would keep other clients out until their timers
+    /// expire.
+    pub(super) fn free_descriptors(&mut self, now: f64) {
+        while self.descriptors.limit.saturating_sub(self.descriptors.used)
+            < self.descriptors.limit / MIN_FREE_DIVISOR
+        {
+            match self.idle_sessions.first_key_value() {
+                Some((_, &(key, since))) if now - since >= MIN_IDLE_S => {
+                    self.close_session(now, key, CloseKind::Graceful, CloseReason::MadeRoom)
                 }
                 _ => return,
             }
         }
     }
 
-    /// Accepts only while there are descriptors left to refuse with.
-    pub(super) fn weigh(&mut self, now: f64) {
-        let left = self.descriptors.most.saturating_sub(self.descriptors.used);
-        let accepting = if self.descriptors.accepting { left > 0 } else { left > TO_REFUSE / 2 };
+    /// Starts or stops accepting: clients are accepted only while descriptors are left to reject them with. Accepting starts
+    /// again at a higher count than it stops at.
+    pub(super) fn update_accepting(&mut self, now: f64) {
+        let free = self.descriptors.limit.saturating_sub(self.descriptors.used);
+        let accepting = if self.descriptors.accepting { free > 0 } else { free > REJECTION_DESCRIPTORS / 2 };
         if accepting != self.descriptors.accepting {
             self.descriptors.accepting = accepting;
             self.effects.push(Effect::SetAccepting(accepting));
-            self.look_for_room(now);
+            self.schedule_descriptor_check(now);
         }
     }
 
-    /// While nobody can be accepted, nobody's coming makes room.
-    pub(super) fn look_for_room(&mut self, now: f64) {
+    /// While no client is accepted, a timer has to free descriptors, as no new client does.
+    pub(super) fn schedule_descriptor_check(&mut self, now: f64) {
         if !self.descriptors.accepting {
-            self.timers.set(now + LET_SPEAK, Due::Room);
+            self.timers.set(now + MIN_IDLE_S, TimerKind::FreeDescriptors);
         }
     }
 
-    pub(super) fn client_said(&mut self, now: f64, key: usize, bytes: &[u8]) {
+    /// Handles bytes from a client, according to its session's stage.
+    pub(super) fn handle_client_bytes(&mut self, now: f64, key: usize, bytes: &[u8]) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         match session.stage {
             Stage::Greeting => {
                 session.head.extend_from_slice(bytes);
-                // Never more than a line and a piece, also where it is not read yet.
+                // Bounds the buffer to twice the longest line, also while first lines are not processed yet.
                 if session.head.len() > 2 * LONGEST {
-                    return self.misunderstood(now, key);
+                    return self.answer_malformed(now, key);
                 }
-                self.greet(now, key);
+                self.process_first_line(now, key);
             }
             Stage::Waiting | Stage::Returning => {
-                // A client waits for its answer; one that does not is not understood.
+                // A client must send nothing while it waits for its answer; one that does is answered with an error.
                 if let Some(call) = session.call.clone() {
                     call.left();
                 }
-                self.answer(now, key, answers::FAILED.to_vec(), AnswerReason::SpokeEarly);
+                self.send_final_answer(now, key, answers::FAILED.to_vec(), AnswerReason::SpokeEarly);
             }
             Stage::Standing => {
                 let mut lines = 0;
@@ -130,23 +141,24 @@
                     session.asked_at = now;
                     session.unanswered.get_or_insert(now);
                 }
-                let silent = session.timer.is_none() && lines > 0 && session.moving.is_none();
+                let starts_timer = session.timer.is_none() && lines > 0 && session.moving.is_none();
                 if let Some(leg) = session.bound() {
                     self.effects.push(Effect::Forward(Endpoint::Server(leg), 0..bytes.len()));
                 }
-                if silent {
-                    self.replace_timer(key, Some(now + MOST_SILENT));
+                if starts_timer {
+                    self.replace_stage_timer(key, Some(now + MAX_REPLY_SILENCE_S));
                 }
             }
             Stage::Parting => {}
         }
     }
 
-    pub(super) fn greet(&mut self, now: f64, key: usize) {
-        if self.unconfirmed {
+    /// Processes the session's first line once it is complete: answers a `PING`, or starts or restores a call.
+    pub(super) fn process_first_line(&mut self, now: f64, key: usize) {
+        if self.list_unconfirmed {
             if matches!(first(&self.sessions[key].head), Ok(Some(_))) {
-                // It waits for us, and must not give up its descriptor as one that we wait for.
-                self.loiter_no_more(key);
+                // The client waits for an answer now, so its session must not be closed as an idle one.
+                self.clear_idle(key);
             }
             return;
         }
@@ -154,35 +166,41 @@
         let end = match first(&session.head) {
             Ok(Some(end)) => end,
             Ok(None) => return,
-            Err(_) => return self.misunderstood(now, key),
+            Err(_) => return self.answer_malformed(now, key),
         };
-        match opening(&session.head[..end], now, self.longest_guard, &self.known, self.groups) {
-            // One that asks for signs of life without end would be answered without end.
-            Ok(Opening::Ping) if session.pings < MOST_PINGS => {
+        match opening(
+            &session.head[..end],
+            now,
+            self.longest_guard_time,
+            &self.known_names,
+            self.groups_enabled,
+        ) {
+            // A client that keeps sending `PING` must not be answered without limit.
+            Ok(Opening::Ping) if session.pings < MAX_PINGS => {
                 session.pings += 1;
                 session.head.drain(..end);
                 let more = !session.head.is_empty();
-                // Only once it can serve, and no longer when it stops. What came behind it has its answer all the same.
-                let serves = !self.servers.0.is_empty() && self.stopping.is_none();
-                if serves {
+                // Answered only while servers are known and no drain is in progress. Lines after it are processed either way.
+                let can_serve = !self.servers.0.is_empty() && self.draining_since.is_none();
+                if can_serve {
                     self.effects.push(Effect::Write(Endpoint::Client(key), answers::PONG.to_vec()));
                 }
                 if more {
-                    self.greet(now, key);
-                } else if !serves {
-                    self.answer(now, key, Vec::new(), AnswerReason::NoSignOfLife);
+                    self.process_first_line(now, key);
+                } else if !can_serve {
+                    self.send_final_answer(now, key, Vec::new(), AnswerReason::NoSignOfLife);
                 } else if self.sessions[key].loiters.is_none() {
-                    self.loiter(now, key);
+                    self.mark_idle(now, key);
                 }
             }
-            // The id of another client's open request: a server would take it for a second copy of that one.
+            // An id of another client's open request is rejected: a server would take it for a repeat of that request.
             Ok(Opening::Open { id, wanted, wait, held_at })
-                if end == session.head.len() && !self.named.contains(&id) =>
+                if end == session.head.len() && !self.open_request_ids.contains(&id) =>
             {
-                self.named.insert(id);
+                self.open_request_ids.insert(id);
                 session.named = Some(id);
                 if let Some(group) = wanted.group {
-                    debug!("{}: is of group {group:x}", session.who());
+                    debug!("{}: in group {group:x}", session.who());
                 }
                 session.wait = wait;
                 session.traffic = wanted.traffic;
@@ -192,42 +210,46 @@
                     session.who(),
                     String::from_utf8_lossy(&session.head).trim_end()
                 );
-                self.loiter_no_more(key);
+                self.clear_idle(key);
                 let session = &mut self.sessions[key];
                 match held_at.map(|at| std::str::from_utf8(&session.head[at]).map_or(0, number_of)) {
                     Some(server) => {
                         session.stage = Stage::Returning;
-                        // One that names a server of which nobody knows would else be tried for as long as it likes.
-                        let named = self.servers.0.contains_key(&server);
-                        let until = until.min(now + if named { PUT_BACK } else { FIRST_LINE });
+                        // With an unknown server, attempts would otherwise last as long as the client says it waits.
+                        let known = self.servers.0.contains_key(&server);
+                        let until =
+                            until.min(now + if known { RESTORE_TIMEOUT_S } else { FIRST_LINE_TIMEOUT_S });
                         session.returning = Some((server, Wanted { until, ..wanted }));
-                        self.replace_timer(key, None);
-                        self.hurry(now, key);
-                        let until = self.answered_by.map_or(until, |by| by.min(until));
-                        self.dial(now, key, server, until);
+                        self.replace_stage_timer(key, None);
+                        self.limit_wait(now, key);
+                        let until = self.answer_deadline.map_or(until, |deadline| deadline.min(until));
+                        self.restore_connection(now, key, server, until);
                     }
                     None => {
                         session.stage = Stage::Waiting;
-                        self.replace_timer(key, None);
-                        let until = self.answered_by.map_or(wanted.until, |by| by.min(wanted.until));
+                        self.replace_stage_timer(key, None);
+                        let until =
+                            self.answer_deadline.map_or(wanted.until, |deadline| deadline.min(wanted.until));
                         let call = self.balancer.take(now, id, Wanted { until, ..wanted });
                         self.sessions[key].call = Some(call);
                     }
                 }
             }
-            Ok(_) => self.misunderstood(now, key),
+            Ok(_) => self.answer_malformed(now, key),
             Err(fault) => {
-                debug!("a client's first line was not understood: {fault}");
-                self.misunderstood(now, key);
+                debug!("a client's first line is invalid: {fault}");
+                self.answer_malformed(now, key);
             }
         }
     }
 
-    pub(super) fn misunderstood(&mut self, now: f64, key: usize) {
-        self.answer(now, key, answers::FAILED.to_vec(), AnswerReason::Misunderstood);
+    /// Answers a client whose first line is invalid, too long or late.
+    pub(super) fn answer_malformed(&mut self, now: f64, key: usize) {
+        self.send_final_answer(now, key, answers::FAILED.to_vec(), AnswerReason::Misunderstood);
     }
 
-    pub(super) fn client_closed(&mut self, now: f64, key: usize, how: CloseKind) {
+    /// The client closed its connection, or the connection failed.
+    pub(super) fn handle_client_closed(&mut self, now: f64, key: usize, kind: CloseKind) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         match session.stage {
             Stage::Greeting | Stage::Parting => {}
@@ -239,32 +261,32 @@
             Stage::Standing => {
                 let leg = session.bound();
                 session.stage = Stage::Parting;
-                if let Some(leg) = leg.filter(|_| how == CloseKind::Graceful) {
-                    // The server's last lines still go through.
-                    self.tell_leg_ended(now, leg, Ending::Cancelled, true);
+                if let Some(leg) = leg.filter(|_| kind == CloseKind::Graceful) {
+                    // The server's last lines are still forwarded.
+                    self.report_leg_end(now, leg, Ending::Cancelled, true);
                     self.legs[leg].stage = LegStage::Parting;
                     self.effects.push(Effect::ShutdownWrite(Endpoint::Server(leg)));
-                    self.replace_wake(key, None);
-                    return self.replace_timer(key, Some(now + 1.0));
+                    self.replace_wake_timer(key, None);
+                    return self.replace_stage_timer(key, Some(now + 1.0));
                 }
             }
         }
-        let why = match how {
+        let reason = match kind {
             CloseKind::Graceful => CloseReason::ClientEnded,
             CloseKind::Abortive => CloseReason::ClientReset,
         };
-        self.close_all(now, key, how, why);
+        self.close_session(now, key, kind, reason);
     }
 
-    /// The session's last word to its client; then it parts.
-    pub(super) fn answer(&mut self, now: f64, key: usize, text: Vec<u8>, why: AnswerReason) {
+    /// Sends the proxy's own final answer to the client, ends the session's legs and begins closing it.
+    pub(super) fn send_final_answer(&mut self, now: f64, key: usize, text: Vec<u8>, reason: AnswerReason) {
         if self.sessions[key].stage == Stage::Parting {
             return;
         }
-        let said = String::from_utf8_lossy(&text);
-        debug!("{}: final answer '{}', {why}", self.sessions[key].who(), said.trim_end());
-        self.counters.answers.count(why.name());
-        self.part(now, key);
+        let shown = String::from_utf8_lossy(&text);
+        debug!("{}: final answer '{}', {reason}", self.sessions[key].who(), shown.trim_end());
+        self.counters.answers.count(reason.name());
+        self.begin_closing(now, key);
         self.end_legs(now, key, CloseKind::Graceful);
         if !text.is_empty() {
             self.effects.push(Effect::Write(Endpoint::Client(key), text));
@@ -272,51 +294,51 @@
         self.effects.push(Effect::ShutdownWrite(Endpoint::Client(key)));
     }
 
-    /// From here on only what is on its way still matters.
-    pub(super) fn part(&mut self, now: f64, key: usize) {
-        self.loiter(now, key);
+    /// Begins closing the session: from here on only bytes already under way are still delivered.
+    pub(super) fn begin_closing(&mut self, now: f64, key: usize) {
+        self.mark_idle(now, key);
         let session = &mut self.sessions[key];
         session.stage = Stage::Parting;
         session.head = Vec::new();
         session.returning = None;
         if let Some(id) = session.named.take() {
-            self.named.remove(&id);
+            self.open_request_ids.remove(&id);
         }
-        self.replace_wake(key, None);
-        self.replace_timer(key, Some(now + self.longest_guard.max(1.0)));
+        self.replace_wake_timer(key, None);
+        self.replace_stage_timer(key, Some(now + self.longest_guard_time.max(1.0)));
     }
 
-    /// What its client is owed if the session is closed for this.
-    pub(super) fn owed(&self, key: usize, why: CloseReason) -> Owed {
+    /// What the client would still be owed if the session were closed for this reason.
+    pub(super) fn obligation_on_close(&self, key: usize, reason: CloseReason) -> Owed {
         let session = &self.sessions[key];
-        let asked = matches!(first(&session.head), Ok(Some(_)));
-        match (session.stage, why) {
+        let has_request = matches!(first(&session.head), Ok(Some(_)));
+        match (session.stage, reason) {
             (_, CloseReason::ClientEnded | CloseReason::ClientReset) | (Stage::Parting, _) => Owed::Nothing,
             (Stage::Waiting | Stage::Returning, _) => Owed::Answer,
-            (Stage::Greeting, _) if asked => Owed::Answer,
+            (Stage::Greeting, _) if has_request => Owed::Answer,
             (Stage::Greeting, _) => Owed::Nothing,
             (Stage::Standing, CloseReason::ServerEnded | CloseReason::ServerReset) => Owed::Nothing,
             (Stage::Standing, _) => Owed::Move,
         }
     }
 
-    /// Closes what a session still has open, and gives its slot back.
-    pub(super) fn close_all(&mut self, now: f64, key: usize, how: CloseKind, why: CloseReason) {
-        let owed = self.owed(key, why);
-        self.guard.closes(owed, &self.sessions[key].who());
-        debug!("{}: closed, {why}", self.sessions[key].who());
-        self.counters.closes.count(why.name());
-        self.end_legs(now, key, how);
-        self.loiter_no_more(key);
+    /// Closes the session's remaining connections and frees its slot.
+    pub(super) fn close_session(&mut self, now: f64, key: usize, kind: CloseKind, reason: CloseReason) {
+        let obligation = self.obligation_on_close(key, reason);
+        self.guard.closes(obligation, &self.sessions[key].who());
+        debug!("{}: closed, {reason}", self.sessions[key].who());
+        self.counters.closes.count(reason.name());
+        self.end_legs(now, key, kind);
+        self.clear_idle(key);
         let mut session = self.sessions.remove(key);
         if let Some(id) = session.named {
-            self.named.remove(&id);
+            self.open_request_ids.remove(&id);
         }
         for timer in session.timer.take().into_iter().chain(session.wake.take()) {
             self.timers.cancel(timer);
         }
-        self.effects.push(Effect::Close(Endpoint::Client(key), how));
+        self.effects.push(Effect::Close(Endpoint::Client(key), kind));
         self.descriptors.used -= 1;
-        self.weigh(now);
+        self.update_accepting(now);
     }
 }
--- a/crates/dewhead-proxy/src/reducer/handover.rs
+++ b/crates/dewhead-proxy/src/reducer/handover.rs
@@ -1,4 +1,5 @@
-//! What one process hands to the one that takes its place, and what that takes up.
+//! Handover: the state that a process exports to its successor, what the successor imports, and the retirement of the
+//! predecessor.
 
 use super::Reducer;
 use crate::memory::known::{self, Handed};
@@ -6,42 +7,42 @@
 use log::info;
 use serde_json::Value;
 
-/// What was handed on longer ago than this many of the longest guard times is the list alone.
-const USE: f64 = 20.0;
+/// Learned state older than this is not imported, in multiples of the longest guard time; the list still is.
+const MAX_STATE_AGE: f64 = 20.0;
 
 impl Reducer {
-    /// The list and what was learned, each with its age.
+    /// Exports the list and what was learned of the servers, with its age.
     pub fn export_state(&self, now: f64) -> Value {
         let list = self.watch.entries.list(self.watch.version);
-        let paces = self.servers.0.iter().map(|(id, server)| (*id, &server.pace));
-        known::write(now, list, &self.balancer.learned(now), paces, &self.kinds)
+        let setup_times = self.servers.0.iter().map(|(id, server)| (*id, &server.pace));
+        known::write(now, list, &self.balancer.learned(now), setup_times, &self.setup_baselines)
     }
 
-    /// Takes up what another process has learned: of servers that are listed and have not started anew.
+    /// Imports what another process has learned of servers that are listed and have not restarted since.
     pub fn import_state(&mut self, now: f64, handed: &Handed) {
-        let ago = (now - handed.at).max(0.0);
-        if ago > USE * self.longest_guard {
-            return info!("what was handed on is {ago:.0} s old and left aside");
+        let age = (now - handed.at).max(0.0);
+        if age > MAX_STATE_AGE * self.longest_guard_time {
+            return info!("handed-over state is ignored: it is {age:.0} s old");
         }
-        let recalled = self.balancer.recall(now, ago, &handed.servers);
-        for (id, (recent, usual, seen, since)) in &handed.paces {
+        let recalled = self.balancer.recall(now, age, &handed.servers);
+        for (id, (recent, usual, samples, last_age)) in &handed.paces {
             if let Some(server) = self.servers.0.get_mut(id) {
-                server.pace = Pace::recall(now, (*recent, *usual, *seen, since + ago));
+                server.pace = Pace::recall(now, (*recent, *usual, *samples, last_age + age));
             }
         }
-        self.kinds.recall(&handed.kinds);
-        info!("taken up what was learned of {recalled} servers, {ago:.1} s ago");
+        self.setup_baselines.recall(&handed.kinds);
+        info!("imported what was learned of {recalled} servers, {age:.1} s old");
     }
 
-    /// Another process serves from now on: who stands here leaves over so many seconds, and the process ends.
-    pub(super) fn retire(&mut self, now: f64, spread: f64) {
-        if self.ends {
+    /// Another process serves from now on: moves all clients away over this many seconds, then exits.
+    pub(super) fn begin_retirement(&mut self, now: f64, spread: f64) {
+        if self.exits_when_empty {
             return;
         }
         info!("retiring: {} sessions are open", self.sessions.len());
-        self.ends = true;
-        self.spread = spread.max(0.0);
-        self.send_all_away(now);
-        self.end_after(now, self.spread + self.longest_guard);
+        self.exits_when_empty = true;
+        self.drain_spread = spread.max(0.0);
+        self.schedule_moves(now);
+        self.schedule_exit(now, self.drain_spread + self.longest_guard_time);
     }
 }
--- a/crates/dewhead-proxy/src/reducer/shutdown.rs
+++ b/crates/dewhead-proxy/src/reducer/shutdown.rs
@@ -1,136 +1,144 @@
-//! The polite stop, and the drain that can be taken back.
+//! The graceful stop, and the drain, which can be cancelled.
 
-use super::{Due, Reducer, STILL_COMING};
+use super::{Reducer, TimerKind, ARRIVALS_AFTER_STOP_S};
 use crate::memory::sessions::{LegStage, Stage};
 use dewhead::terms::Ending;
 use log::info;
 
-/// A process that is told to stop is let live for the longest guard time, but no more than this, and 0.7 s.
-const WAITED_FOR: f64 = 3.0;
-/// After that time all who still wait have had their answer; a little later all who stand are told to move, and so much
-/// later the process ends.
-const ANSWERED: f64 = 0.4;
-const LAST_WORD: f64 = 0.45;
-const ENDED: f64 = 0.6;
+/// A stopping process is killed 0.7 s after the longest guard time, or after this many seconds if that is shorter.
+const MAX_STOP_WAIT_S: f64 = 3.0;
+/// Counted from that time without the 0.7 s, in seconds: when every waiting client has its answer, when all established
+/// clients are moved, and when the process exits.
+const ANSWERS_DUE_AFTER_S: f64 = 0.4;
+const FINAL_MOVES_AFTER_S: f64 = 0.45;
+const EXIT_AFTER_S: f64 = 0.6;
 
 impl Reducer {
-    /// Told by a signal to end. During a hand-over the signal's times hold from then on: whoever sent it waits no longer.
-    pub(super) fn stop(&mut self, now: f64) {
-        if self.stops {
+    /// Starts a stop that a signal requested. During a handover the signal's time limits replace the handover's, as its
+    /// sender waits no longer.
+    pub(super) fn begin_stop(&mut self, now: f64) {
+        if self.stop_requested {
             return;
         }
         info!("stopping: {} sessions are open", self.sessions.len());
-        self.stops = true;
-        self.ends = true;
-        self.spread = self.default_drain_spread();
-        self.send_all_away(now);
-        self.end_after(now, self.longest_guard.min(WAITED_FOR));
+        self.stop_requested = true;
+        self.exits_when_empty = true;
+        self.drain_spread = self.default_drain_spread();
+        self.schedule_moves(now);
+        self.schedule_exit(now, self.longest_guard_time.min(MAX_STOP_WAIT_S));
     }
 
-    /// How long a stop that a signal has asked for takes at the most, in seconds.
+    /// The longest time that a stop requested by a signal takes, in seconds.
     pub fn max_stop_duration(&self) -> f64 {
-        self.longest_guard.min(WAITED_FOR) + ENDED
+        self.longest_guard_time.min(MAX_STOP_WAIT_S) + EXIT_AFTER_S
     }
 
-    /// All is over after so many seconds. Guard times longer than that, 4.8 s at one site, were waited for, and who
-    /// waited, stood or came late was cut off with the process.
-    pub(super) fn end_after(&mut self, now: f64, seconds: f64) {
-        self.timers.set(now + STILL_COMING, Due::Empty);
-        self.timers.set(now + seconds + LAST_WORD, Due::LastWord);
-        self.timers.set(now + seconds + ENDED, Due::Exit);
-        let by = now + seconds + ANSWERED;
-        self.answered_by = Some(self.answered_by.map_or(by, |earlier| earlier.min(by)));
+    /// Sets the timers and the answer deadline for an exit about this many seconds from now. Without the deadline, calls
+    /// waited for their whole guard time, 4.8 s at one site, and clients that were waiting, established or late to arrive
+    /// were cut off when the process was killed.
+    pub(super) fn schedule_exit(&mut self, now: f64, seconds: f64) {
+        self.timers.set(now + ARRIVALS_AFTER_STOP_S, TimerKind::ArrivalsOver);
+        self.timers.set(now + seconds + FINAL_MOVES_AFTER_S, TimerKind::FinalMoves);
+        self.timers.set(now + seconds + EXIT_AFTER_S, TimerKind::Exit);
+        let deadline = now + seconds + ANSWERS_DUE_AFTER_S;
+        self.answer_deadline = Some(self.answer_deadline.map_or(deadline, |earlier| earlier.min(deadline)));
         let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
-        keys.into_iter().for_each(|key| self.hurry(now, key));
+        keys.into_iter().for_each(|key| self.limit_wait(now, key));
     }
 
-    /// A call that waits while the process ends has its answer in time for its client to read it.
-    pub(super) fn hurry(&mut self, now: f64, key: usize) {
-        let Some(by) = self.answered_by else { return };
+    /// Limits a waiting call and its legs to the answer deadline, if one is set, so that its client can still read the answer.
+    pub(super) fn limit_wait(&mut self, now: f64, key: usize) {
+        let Some(deadline) = self.answer_deadline else { return };
         let session = &mut self.sessions[key];
         match session.stage {
             Stage::Waiting => {}
             Stage::Returning => {
                 if let Some((_, wanted)) = &mut session.returning {
-                    wanted.until = wanted.until.min(by);
+                    wanted.until = wanted.until.min(deadline);
                 }
             }
             _ => return,
         }
         if let Some(call) = &session.call {
-            call.hurry(by);
+            call.hurry(deadline);
         }
         let legs: Vec<usize> = session.legs.iter().map(|(_, leg)| *leg).collect();
         for leg in legs {
             let out = &mut self.legs[leg];
-            if out.until > by {
-                out.until = by;
-                // One that is not up yet may have less time already.
+            if out.until > deadline {
+                out.until = deadline;
+                // A leg that is not connected yet may have less time already.
                 let at = match out.stage {
-                    // Its timer dials it, and ends it in time.
+                    // Its timer starts it, or ends it in time.
                     LegStage::Queued => continue,
-                    LegStage::Connecting => out.up_by.min(by),
-                    _ => by,
+                    LegStage::Connecting => out.up_by.min(deadline),
+                    _ => deadline,
                 };
-                if let Some(old) = out.timer.replace(self.timers.set(at.max(now), Due::Leg(leg))) {
+                if let Some(old) = out.timer.replace(self.timers.set(at.max(now), TimerKind::Leg(leg))) {
                     self.timers.cancel(old);
                 }
             }
         }
     }
 
-    /// Who still stands is told to move while there is time to read it.
-    pub(super) fn say_last_word(&mut self, now: f64) {
-        for key in self.standing() {
-            self.move_away(now, key, Ending::Cancelled);
+    /// Moves all clients that are still established, while they have time to read it.
+    pub(super) fn move_remaining_clients(&mut self, now: f64) {
+        for key in self.established_sessions() {
+            self.move_client(now, key, Ending::Cancelled);
         }
     }
 
-    /// Whether nothing is open and nobody comes any more, or time is up.
+    /// Whether the process may exit: it has no session left and no more clients arrive, or the time for its stop is over.
     pub fn is_finished(&self, now: f64) -> bool {
-        let all_came = self.stopping.is_some_and(|at| now >= at + STILL_COMING);
-        self.time_is_up || (self.ends && all_came && self.sessions.is_empty())
+        let arrivals_over = self.draining_since.is_some_and(|at| now >= at + ARRIVALS_AFTER_STOP_S);
+        self.exit_due || (self.exits_when_empty && arrivals_over && self.sessions.is_empty())
     }
 
-    pub(super) fn drain(&mut self, now: f64, spread: f64) {
-        if self.ends {
+    /// Starts moving all clients away over this many seconds.
+    pub(super) fn begin_drain(&mut self, now: f64, spread: f64) {
+        if self.exits_when_empty {
             return;
         }
         info!("draining: {} sessions are open", self.sessions.len());
-        self.spread = spread.max(0.0);
-        self.send_all_away(now);
+        self.drain_spread = spread.max(0.0);
+        self.schedule_moves(now);
     }
 
-    /// Over how long clients are sent away where nobody says.
+    /// The seconds over which clients are moved away where a drain's request gives none.
     pub fn default_drain_spread(&self) -> f64 {
-        0.5 * self.longest_guard.min(WAITED_FOR)
+        0.5 * self.longest_guard_time.min(MAX_STOP_WAIT_S)
     }
 
-    /// Serves again; who has not left yet stays.
-    pub(super) fn undrain(&mut self) {
-        if self.ends || self.stopping.take().is_none() {
+    /// Cancels a drain: clients that have not been moved yet stay.
+    pub(super) fn cancel_drain(&mut self) {
+        if self.exits_when_empty || self.draining_since.take().is_none() {
             return;
         }
         info!("serving again: {} sessions are open", self.sessions.len());
-        self.standing().into_iter().for_each(|key| self.replace_wake(key, None));
+        self.established_sessions().into_iter().for_each(|key| self.replace_wake_timer(key, None));
     }
 
-    fn standing(&self) -> Vec<usize> {
+    /// The slots of all established sessions.
+    fn established_sessions(&self) -> Vec<usize> {
         self.sessions.iter().filter(|(_, s)| s.stage == Stage::Standing).map(|(key, _)| key).collect()
     }
 
-    pub(super) fn send_all_away(&mut self, now: f64) {
-        self.stopping = Some(now);
-        for key in self.standing() {
-            let at = self.leave_at(now);
-            let wake = self.timers.set(at, Due::Leave(key));
-            self.replace_wake(key, Some(wake));
+    /// Begins a drain: sets a timer for each established client to be moved.
+    pub(super) fn schedule_moves(&mut self, now: f64) {
+        self.draining_since = Some(now);
+        for key in self.established_sessions() {
+            let at = self.pick_move_time(now);
+            let timer = self.timers.set(at, TimerKind::MoveClient(key));
+            self.replace_wake_timer(key, Some(timer));
         }
     }
 
-    /// When a connection leaves at a stop: spread out, after clients have ceased to come and well before the end.
-    pub(super) fn leave_at(&mut self, stop: f64) -> f64 {
-        let last = self.answered_by.map_or(f64::INFINITY, |by| by + LAST_WORD - ANSWERED);
-        (stop + STILL_COMING + 0.1 + self.spread * self.chance.rand_float()).min(last)
+    /// Draws the time at which a client is moved in a drain that began at `start`: spread at random, after clients have stopped
+    /// arriving and well before the exit.
+    pub(super) fn pick_move_time(&mut self, start: f64) -> f64 {
+        let latest = self
+            .answer_deadline
+            .map_or(f64::INFINITY, |deadline| deadline + FINAL_MOVES_AFTER_S - ANSWERS_DUE_AFTER_S);
+        (start + ARRIVALS_AFTER_STOP_S + 0.1 + self.drain_spread * self.rng.rand_float()).min(latest)
     }
 }
--- a/crates/dewhead-proxy/src/reducer/status.rs
+++ b/crates/dewhead-proxy/src/reducer/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the state; nothing is changed here.
+//! Reports on the state for operators and the final counts. Only the guard's counts and the counters are changed here.
 
 use super::Reducer;
 use crate::guard::Violation;
@@ -9,10 +9,11 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// So many connections are told one by one at the most.
-const TOLD: usize = 1000;
+/// The most connections that are listed one by one.
+const MAX_LISTED_CONNECTIONS: usize = 1000;
 
-fn name(stage: Stage) -> &'static str {
+/// The name of a stage in reports.
+fn stage_name(stage: Stage) -> &'static str {
     match stage {
         Stage::Greeting => "greeting",
         Stage::Waiting => "waiting",
@@ -23,20 +24,20 @@
 }
 
 impl Reducer {
-    /// The version of the list that is held; 0 for none yet.
+    /// The version of the current list; 0 for none yet.
     pub fn list_version(&self) -> u64 {
         self.watch.version
     }
 
-    /// Counts, and the list as it is held. Ages are seconds.
+    /// Counters, and the current list. The uptime is in seconds.
     pub fn status(&self, now: f64) -> Value {
         let mut stages: BTreeMap<&str, usize> = BTreeMap::new();
         for (_, session) in &self.sessions {
-            *stages.entry(name(session.stage)).or_default() += 1;
+            *stages.entry(stage_name(session.stage)).or_default() += 1;
         }
-        let mut held: BTreeMap<u64, usize> = BTreeMap::new();
+        let mut connections: BTreeMap<u64, usize> = BTreeMap::new();
         for (_, leg) in &self.legs {
-            *held.entry(leg.server).or_default() += 1;
+            *connections.entry(leg.server).or_default() += 1;
         }
         let ready = self.servers.0.values().filter(|s| s.state == State::Ready).count();
         let servers = self.servers.0.iter().map(|(id, server)| {
@@ -46,50 +47,50 @@
                 State::Gone => "gone",
             };
             json!({"server": id, "at": server.dial.map(|d| d.to_string()), "state": state,
-                   "connections": held.get(id).copied().unwrap_or(0)})
+                   "connections": connections.get(id).copied().unwrap_or(0)})
         });
         let violations: BTreeMap<&str, u64> =
             self.guard.counts().map(|(violation, count)| (violation.name(), count)).collect();
         json!({
             "counters": self.counters.told(), "violations": violations,
             "sessions": self.sessions.len(), "by_stage": stages, "legs": self.legs.len(),
-            "descriptors": self.descriptors.used, "descriptors_most": self.descriptors.most,
-            "accepting": self.descriptors.accepting, "uptime": ((now - self.began) * 1e3).round() / 1e3,
+            "descriptors": self.descriptors.used, "descriptors_most": self.descriptors.limit,
+            "accepting": self.descriptors.accepting, "uptime": ((now - self.started_at) * 1e3).round() / 1e3,
             "list_version": self.watch.version, "watch_open": self.watch.answer.is_some(),
-            "watch_failures": self.watch.failures, "discovery": self.watch.discovery.to_string(),
+            "watch_failures": self.watch.failed_attempts, "discovery": self.watch.discovery.to_string(),
             "servers_known": self.servers.0.len(), "servers_ready": ready, "servers": servers.collect::<Vec<_>>()
         })
     }
 
-    /// Promises that were about to be broken so far.
+    /// The number of invariant violations that the guard has found so far.
     pub fn violations(&self) -> u64 {
         self.guard.total()
     }
 
-    /// The process ends before the one whose place it took, whose clients may not have been told to move.
+    /// Records that the process exits before its predecessor, whose clients may not have been moved yet.
     pub fn record_predecessor_left(&mut self) {
-        self.guard.violated(Violation::PredecessorLeft, &"the process whose place was taken");
+        self.guard.violated(Violation::PredecessorLeft, &"the predecessor process");
     }
 
-    /// The process ends: who is still owed something is counted, and all counts are told in the log.
+    /// Records the process's end: clients that are still owed something count as violations, and all counts are logged.
     pub fn record_process_end(&mut self) {
         let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
         for key in keys {
-            let owed = self.owed(key, CloseReason::ProcessEnded);
-            self.guard.closes(owed, &self.sessions[key].who());
+            let obligation = self.obligation_on_close(key, CloseReason::ProcessEnded);
+            self.guard.closes(obligation, &self.sessions[key].who());
             self.counters.closes.count(CloseReason::ProcessEnded.name());
         }
-        info!("counted: {}, violations {}", self.counters.told(), self.guard.total());
+        info!("final counts: {}, violations {}", self.counters.told(), self.guard.total());
     }
 
-    /// Sessions one by one, the first thousand of them.
+    /// Lists the sessions one by one, up to the first thousand.
     pub fn connections(&self) -> Value {
-        let one = |(key, session): (usize, &crate::memory::sessions::Session)| {
+        let entry = |(key, session): (usize, &crate::memory::sessions::Session)| {
             let server = session.legs.first().and_then(|(_, leg)| self.legs.get(*leg)).map(|leg| leg.server);
-            json!({"slot": key, "stage": name(session.stage), "server": server, "legs": session.sent,
-                   "traffic": self.known.traffic.get(session.traffic)})
+            json!({"slot": key, "stage": stage_name(session.stage), "server": server, "legs": session.sent,
+                   "traffic": self.known_names.traffic.get(session.traffic)})
         };
-        let told: Vec<Value> = self.sessions.iter().take(TOLD).map(one).collect();
-        json!({"sessions": self.sessions.len(), "told": told.len(), "connections": told})
+        let listed: Vec<Value> = self.sessions.iter().take(MAX_LISTED_CONNECTIONS).map(entry).collect();
+        json!({"sessions": self.sessions.len(), "told": listed.len(), "connections": listed})
     }
 }
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -1,6 +1,6 @@
-//! Following discovery: the watch and what its lines change.
+//! The watch on discovery: requests it, reads its lines, and applies the versions of the server list that they hold.
 
-use super::{Due, Effect, Reducer};
+use super::{Effect, Reducer, TimerKind};
 use crate::memory::known::Entries;
 use crate::memory::sessions::{LegStage, Out, Session, Stage};
 use crate::memory::timers::Timer;
@@ -11,89 +11,101 @@
 use log::{debug, warn};
 use std::net::SocketAddr;
 
-/// Discovery writes every two seconds at least; this long without a word and the watch is dead. What it has to tell
-/// counts as told after six, so that two tries must fit in there.
-const WATCH_SILENT: f64 = 2.6;
-/// The agent answers at once, or is not there; a discovery that is asked too much answers within two seconds. Given up
-/// before that, what it had begun was done for nothing.
-const WATCH_OPENS: f64 = 2.2;
-/// A first line that does not end in `WATCH_SILENT` has as much time more with each try, up to so many times, as a long
-/// list may come slowly; but so many bytes are due in each such time, or nobody is writing it any longer.
-const PATIENCE: u32 = 4;
-const PROGRESS: usize = 4096;
-/// How soon after it was last asked discovery is asked again, at first and at the longest. What has been open, or silent,
-/// for longer is asked for anew at once: a drain may be told in that pause, and counts.
-const WATCH_PAUSE: (f64, f64) = (0.1, 0.8);
-/// The same, at the earliest and at the latest, where discovery turns calls away: it has more to do than it can, and a
-/// hundred proxies that asked again each second kept it so that it answered nobody for the rest of the day. It is asked as
-/// seldom as the six seconds allow, in which whatever it has counts as told, and from the first time on.
-const AWAY_PERIOD: (f64, f64) = (5.0, 5.6);
+/// Discovery writes at least every two seconds; a watch that delivers no line for this many seconds is treated as lost. A
+/// change counts as known six seconds after discovery has it, so two attempts must fit into that time.
+const WATCH_SILENCE_TIMEOUT_S: f64 = 2.6;
+/// Time for the first line after the request, in seconds. The agent answers at once or is absent; an overloaded discovery
+/// answers within two seconds, and a shorter time-out would waste the work that it has begun.
+const WATCH_OPEN_TIMEOUT_S: f64 = 2.2;
+/// A first line may take `WATCH_SILENCE_TIMEOUT_S` times the number of failed attempts, at least once and at most this many
+/// times that, as a long list may arrive slowly.
+const MAX_FIRST_LINE_PERIODS: u32 = 4;
+/// Bytes of an incomplete first line that must arrive in each `WATCH_SILENCE_TIMEOUT_S`; with fewer, discovery is assumed to
+/// have stopped writing.
+const MIN_PROGRESS_BYTES: usize = 4096;
+/// Shortest and longest interval between two requests for the watch, in seconds, both varied at random. A watch that was
+/// open, or silent, for longer than the interval is requested again at once: a drain may be announced meanwhile, and
+/// counts.
+const WATCH_RETRY_PAUSE_S: (f64, f64) = (0.1, 0.8);
+/// Shortest and longest interval between two requests, in seconds, where discovery refuses them because it is overloaded.
+/// A hundred proxies that asked again every second kept it from answering any of them for the rest of the day. So it is
+/// asked, from the first refusal on, as seldom as the six seconds allow after which a change counts as known.
+const OVERLOAD_RETRY_PERIOD_S: (f64, f64) = (5.0, 5.6);
 
+/// The state of the watch on discovery.
 pub struct Watch {
     pub discovery: SocketAddr,
+    /// The response being read; none while no connection is open.
     pub answer: Option<Answer>,
-    /// When it was last asked for, and whether a whole line has come since.
-    asked_at: f64,
-    told: bool,
-    /// Bytes of the first line since its time was last put off.
-    came: usize,
-    /// The version held, and its entries as they came.
+    /// When the watch was last requested.
+    requested_at: f64,
+    /// Whether a whole line has arrived since then.
+    line_received: bool,
+    /// Bytes of the first line since its deadline was last extended.
+    progress_bytes: usize,
+    /// The version of the current list.
     pub version: u64,
+    /// The entries of the current list as discovery wrote them.
     pub entries: Entries,
-    pub failures: u32,
-    /// Whether it turned the last call away.
-    pub turned_away: bool,
-    /// Whether the timer ends a pause; else it ends a silence.
-    pub pausing: bool,
+    /// Failed attempts since the last list.
+    pub failed_attempts: u32,
+    /// Whether discovery refused the last request, or its list was too long.
+    pub overloaded: bool,
+    /// Whether the timer ends a pause before the next request; otherwise it limits the wait for data.
+    pub retry_pending: bool,
     pub timer: Option<Timer>,
 }
 
 impl Watch {
-    pub fn of(discovery: SocketAddr) -> Watch {
+    /// A watch that has not been requested yet.
+    pub fn new(discovery: SocketAddr) -> Watch {
         Watch {
             discovery,
             answer: None,
-            asked_at: f64::NEG_INFINITY,
-            told: false,
-            came: 0,
+            requested_at: f64::NEG_INFINITY,
+            line_received: false,
+            progress_bytes: 0,
             version: 0,
             entries: Entries::default(),
-            failures: 0,
-            turned_away: false,
-            pausing: false,
+            failed_attempts: 0,
+            overloaded: false,
+            retry_pending: false,
             timer: None,
         }
     }
 }
 
 impl Reducer {
-    pub(super) fn follow(&mut self, now: f64) {
+    /// Requests the watch unless it is open.
+    pub(super) fn open_watch(&mut self, now: f64) {
         if self.watch.answer.is_none() {
-            self.watch.pausing = false;
-            (self.watch.asked_at, self.watch.told, self.watch.came) = (now, false, 0);
+            self.watch.retry_pending = false;
+            (self.watch.requested_at, self.watch.line_received, self.watch.progress_bytes) = (now, false, 0);
             self.effects.push(Effect::OpenWatch(self.watch.discovery, self.watch.version));
-            self.watch_within(now + WATCH_OPENS);
+            self.set_watch_deadline(now + WATCH_OPEN_TIMEOUT_S);
         }
     }
 
-    /// Asks there for the whole list, at once. The versions held mean nothing there: a discovery that counts lower
-    /// would else be taken for an outdated one, and its list never be taken up. Till it comes the list held stays.
-    pub(super) fn follow_elsewhere(&mut self, now: f64, discovery: SocketAddr) {
+    /// Requests the whole list from discovery at another address, at once. Versions of the old discovery mean nothing to
+    /// the new one: compared with them, the list of a discovery that counts lower would look outdated and never be
+    /// applied. The current list is kept until the new one arrives.
+    pub(super) fn switch_discovery(&mut self, now: f64, discovery: SocketAddr) {
         let timer = self.watch.timer.take();
         let entries = std::mem::take(&mut self.watch.entries);
-        self.watch = Watch { timer, entries, ..Watch::of(discovery) };
-        self.follow(now);
+        self.watch = Watch { timer, entries, ..Watch::new(discovery) };
+        self.open_watch(now);
     }
 
-    /// The next word must have come by then.
-    fn watch_within(&mut self, at: f64) {
-        let fresh = self.timers.set(at, Due::Watch);
+    /// Sets the time by which the next line must have arrived.
+    fn set_watch_deadline(&mut self, at: f64) {
+        let fresh = self.timers.set(at, TimerKind::Watch);
         if let Some(old) = self.watch.timer.replace(fresh) {
             self.timers.cancel(old);
         }
     }
 
-    pub(super) fn watched(&mut self, now: f64, bytes: &[u8]) {
+    /// Reads further bytes of the watch and applies the versions that they complete.
+    pub(super) fn handle_watch_bytes(&mut self, now: f64, bytes: &[u8]) {
         let Some(mut answer) = self.watch.answer.take() else { return };
         let (mut lines, mut whole): (Vec<Vec<u8>>, bool) = (Vec::new(), false);
         let outcome = answer.feed(bytes, |line| {
@@ -103,160 +115,167 @@
             }
         });
         self.watch.answer = Some(answer);
-        // Whole lines alone are signs of life: a line in pieces that never ended kept a dead watch for ever.
+        // Only whole lines show that the watch works: a line that arrived in pieces and never ended kept a dead watch
+        // open for ever.
         if whole {
-            self.watch.told = true;
-            self.watch_within(now + WATCH_SILENT);
-        } else if !self.watch.told {
-            self.watch.came += bytes.len();
-            if self.watch.came >= PROGRESS {
-                self.watch.came = 0;
-                let patience = self.watch.failures.clamp(1, PATIENCE);
-                let most = self.watch.asked_at + WATCH_SILENT * f64::from(patience);
-                self.watch_within(most.min(now + WATCH_SILENT));
+            self.watch.line_received = true;
+            self.set_watch_deadline(now + WATCH_SILENCE_TIMEOUT_S);
+        } else if !self.watch.line_received {
+            self.watch.progress_bytes += bytes.len();
+            if self.watch.progress_bytes >= MIN_PROGRESS_BYTES {
+                self.watch.progress_bytes = 0;
+                let periods = self.watch.failed_attempts.clamp(1, MAX_FIRST_LINE_PERIODS);
+                let latest = self.watch.requested_at + WATCH_SILENCE_TIMEOUT_S * f64::from(periods);
+                self.set_watch_deadline(latest.min(now + WATCH_SILENCE_TIMEOUT_S));
             }
         }
         for line in lines {
-            match Version::read(&line, &self.known.zones) {
+            match Version::read(&line, &self.known_names.zones) {
                 Some(version) => {
-                    if !self.list(now, version, false) {
-                        return self.watch_fault(now, "its list was not understood");
+                    if !self.apply_list(now, version, false) {
+                        return self.abort_watch(now, "invalid list");
                     }
                 }
-                None => return self.watch_fault(now, "it wrote no JSON"),
+                None => return self.abort_watch(now, "a line is not JSON"),
             }
         }
         match outcome {
             Ok(true) => {}
-            Ok(false) => self.watch_fault(now, "it has ended"),
-            Err(fault) => self.watch_fault(now, fault),
+            Ok(false) => self.abort_watch(now, "the response ended"),
+            Err(fault) => self.abort_watch(now, fault),
         }
     }
 
-    /// A version of the list; false where it was not understood, and the list held stays.
-    pub(super) fn list(&mut self, now: f64, told: Outcome<Version>, remembered: bool) -> bool {
-        let mut told = match told {
+    /// Applies a version of the list. Returns false where it is invalid; the current list is then kept.
+    pub(super) fn apply_list(&mut self, now: f64, parsed: Outcome<Version>, remembered: bool) -> bool {
+        let mut update = match parsed {
             Ok(list) => list,
             Err(fault) => {
-                if self.watch.failures == 0 {
+                if self.watch.failed_attempts == 0 {
                     warn!("discovery: {fault}");
                 }
                 return false;
             }
         };
-        let (version, whole) = (told.number, told.whole);
-        let born = self.start_by_own_clock(now, &mut told);
-        // Nor is one believed that names nobody yet.
-        if version < self.watch.version && (!whole || told.entries.is_empty()) {
-            warn!("discovery: version {version} is older than {}, which is held", self.watch.version);
+        let (version, whole) = (update.number, update.whole);
+        let reported_starts = self.convert_start_times(now, &mut update);
+        // An older version that names no server yet is ignored, too, even if it is a whole list.
+        if version < self.watch.version && (!whole || update.entries.is_empty()) {
+            warn!("discovery: ignoring version {version}, older than the current {}", self.watch.version);
             return true;
         }
         if version < self.watch.version {
-            // Discovery that started anew counts from one again. Its list left aside until it had counted past the old
-            // one, nodes that it drained meanwhile went on being sent to. One that is only behind brings nothing back:
-            // a server held as draining stays so until it has started anew or a change names it.
-            warn!("discovery: version {version} for {}, which was held: it counts anew", self.watch.version);
-            for (listed, _) in &mut told.entries {
-                let held = self.servers.0.get(&listed.id);
-                if held.is_some_and(|h| h.state == State::Draining && h.started == listed.started) {
+            // A restarted discovery counts from one again. When its list was ignored until it had counted past the old
+            // version, servers that it drained meanwhile were still sent calls. A discovery that is merely behind makes no
+            // server ready again: one known as draining stays so until its process restarts or a change names it.
+            warn!("discovery: version {version} after {}: its counter was reset", self.watch.version);
+            for (listed, _) in &mut update.entries {
+                let known = self.servers.0.get(&listed.id);
+                if known.is_some_and(|k| k.state == State::Draining && k.started == listed.started) {
                     listed.state = State::Draining;
                 }
             }
         }
         self.watch.version = version;
-        (self.watch.failures, self.watch.turned_away) = (0, false);
-        self.watch.entries.follow(whole || remembered, &mut told);
-        for (listed, _) in &told.entries {
-            let ago = listed.started.map_or(f64::INFINITY, |started| now - started);
+        (self.watch.failed_attempts, self.watch.overloaded) = (0, false);
+        self.watch.entries.follow(whole || remembered, &mut update);
+        for (listed, _) in &update.entries {
+            let age = listed.started.map_or(f64::INFINITY, |started| now - started);
             debug!(
-                "server {:x} is {:?} in zone {}, of weight {}, started {ago:.1} s ago",
+                "server {:x} is {:?} in zone {}, of weight {}, started {age:.1} s ago",
                 listed.id, listed.state, listed.zone, listed.weight
             );
         }
-        let gone = self.servers.follow(whole || remembered, &told.entries);
-        for ((listed, _), born) in told.entries.iter().zip(born) {
+        let gone = self.servers.follow(whole || remembered, &update.entries);
+        for ((listed, _), reported_start) in update.entries.iter().zip(reported_starts) {
             if let Some(server) = self.servers.0.get_mut(&listed.id) {
-                server.born = born;
+                server.born = reported_start;
             }
         }
-        let news = match () {
+        let list_kind = match () {
             () if remembered => News::Remembered,
             () if whole => News::Whole,
             () => News::Changes,
         };
-        let listed: Vec<_> = told.entries.into_iter().map(|(listed, _)| listed).collect();
-        self.balancer.list(now, news, &listed);
+        let listed: Vec<_> = update.entries.into_iter().map(|(listed, _)| listed).collect();
+        self.balancer.list(now, list_kind, &listed);
         if !remembered {
-            self.confirm(now);
+            self.confirm_list(now);
         }
         if !gone.is_empty() {
-            // What stands at a server that is gone leaves it; the list changes seldom enough to look at all.
+            // Clients that are established at a server that is gone are moved. The list changes seldom enough to search
+            // all legs.
             let lost = |l: &Out| l.stage == LegStage::Standing && gone.contains(&l.server);
             let keys: Vec<usize> =
                 self.legs.iter().filter(|(_, l)| lost(l)).map(|(_, l)| l.session).collect();
-            keys.into_iter().for_each(|key| self.move_away(now, key, Ending::Broken));
+            keys.into_iter().for_each(|key| self.move_client(now, key, Ending::Broken));
         }
         true
     }
 
-    /// Discovery tells starts by the wall clock. Puts them on the process's own, and returns them as they were told; one
-    /// that was told before stays where it was put then.
-    fn start_by_own_clock(&self, now: f64, told: &mut Version) -> Vec<Option<f64>> {
-        let mut as_told = Vec::with_capacity(told.entries.len());
-        for (listed, _) in &mut told.entries {
-            as_told.push(listed.started);
-            let held = self.servers.0.get(&listed.id).filter(|held| held.born == listed.started);
-            listed.started = match held {
-                Some(held) => held.started,
-                None => listed.started.map(|born| self.wall_clock.started(now, born)),
+    /// Converts the start times of the entries from the wall clock, by which discovery reports them, to the process's own
+    /// clock, and returns them as they were reported. A start that was reported before keeps its earlier conversion.
+    fn convert_start_times(&self, now: f64, update: &mut Version) -> Vec<Option<f64>> {
+        let mut reported_starts = Vec::with_capacity(update.entries.len());
+        for (listed, _) in &mut update.entries {
+            reported_starts.push(listed.started);
+            let known = self.servers.0.get(&listed.id).filter(|known| known.born == listed.started);
+            listed.started = match known {
+                Some(known) => known.started,
+                None => listed.started.map(|reported| self.wall_clock.started(now, reported)),
             };
         }
-        as_told
+        reported_starts
     }
 
-    /// The list held is as good as can be had: who came before is heard.
-    pub(super) fn confirm(&mut self, now: f64) {
-        if std::mem::take(&mut self.unconfirmed) {
+    /// Takes the current list as confirmed, and processes the first lines that arrived before that.
+    pub(super) fn confirm_list(&mut self, now: f64) {
+        if std::mem::take(&mut self.list_unconfirmed) {
             let greeting = |s: &Session| s.stage == Stage::Greeting && !s.head.is_empty();
             let keys: Vec<usize> =
                 self.sessions.iter().filter(|(_, s)| greeting(s)).map(|(key, _)| key).collect();
-            keys.into_iter().for_each(|key| self.greet(now, key));
+            keys.into_iter().for_each(|key| self.process_first_line(now, key));
         }
     }
 
-    pub(super) fn watch_fault(&mut self, now: f64, fault: &str) {
-        if self.watch.failures == 0 {
-            warn!("discovery: the watch is given up: {fault}");
+    /// Closes the watch because of a fault, and schedules the next request.
+    pub(super) fn abort_watch(&mut self, now: f64, fault: &str) {
+        if self.watch.failed_attempts == 0 {
+            warn!("discovery: the watch is closed: {fault}");
         }
-        // A list that is too long is so again: it would be written over and over.
-        self.watch.turned_away = matches!(fault, TURNED_AWAY | TOO_LONG);
+        // A list that is too long will be so again: with short pauses, discovery would write it over and over.
+        self.watch.overloaded = matches!(fault, TURNED_AWAY | TOO_LONG);
         self.effects.push(Effect::CloseWatch);
-        self.ask_later(now);
+        self.schedule_watch_retry(now);
     }
 
-    /// A connection that ended, or was never made, says nothing of how much discovery has to do.
-    pub(super) fn watch_lost(&mut self, now: f64) {
-        self.watch.turned_away = false;
-        self.ask_later(now);
+    /// Schedules the next request after the connection ended or was not established, which says nothing about discovery's
+    /// load.
+    pub(super) fn handle_watch_lost(&mut self, now: f64) {
+        self.watch.overloaded = false;
+        self.schedule_watch_retry(now);
     }
 
-    fn ask_later(&mut self, now: f64) {
+    /// Counts a failed attempt and sets the timer for the next request.
+    fn schedule_watch_retry(&mut self, now: f64) {
         self.watch.answer = None;
-        let failures = self.watch.failures;
-        self.watch.failures = failures.saturating_add(1);
+        let failed_attempts = self.watch.failed_attempts;
+        self.watch.failed_attempts = failed_attempts.saturating_add(1);
         if let Some(old) = self.watch.timer.take() {
             self.timers.cancel(old);
         }
-        // One clock for both ways of listing, from when it was asked: what discovery has by then it would have told, and
-        // what it gets later counts as told six seconds after. A pause from the failure on came on top of the opening.
-        let chance = self.chance.rand_float();
-        let pause = if self.watch.turned_away {
-            AWAY_PERIOD.0 + (AWAY_PERIOD.1 - AWAY_PERIOD.0) * chance
+        // The pause counts from the last request, whichever way it failed: discovery would have sent what it had by then,
+        // and what it learns later counts as known six seconds after that. Counted from the failure, the pause added to
+        // the time spent on opening the watch.
+        let draw = self.rng.rand_float();
+        let pause = if self.watch.overloaded {
+            OVERLOAD_RETRY_PERIOD_S.0 + (OVERLOAD_RETRY_PERIOD_S.1 - OVERLOAD_RETRY_PERIOD_S.0) * draw
         } else {
-            (WATCH_PAUSE.0 * f64::from(1u32 << failures.min(4))).min(WATCH_PAUSE.1) * (0.5 + chance)
+            (WATCH_RETRY_PAUSE_S.0 * f64::from(1u32 << failed_attempts.min(4))).min(WATCH_RETRY_PAUSE_S.1)
+                * (0.5 + draw)
         };
-        let at = (self.watch.asked_at + pause).max(now);
-        self.watch.pausing = true;
-        self.watch.timer = Some(self.timers.set(at, Due::Watch));
+        let at = (self.watch.requested_at + pause).max(now);
+        self.watch.retry_pending = true;
+        self.watch.timer = Some(self.timers.set(at, TimerKind::Watch));
     }
 }
