--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -305,9 +305,9 @@
         self.timers.next()
     }
 
-    /// Sets the times of the iteration that begins now: it delivers everything that arrived until `polled_at`, and starts
-    /// `delay` seconds late. Timers are compared with `polled_at` and not with the clock read after the poll: a process suspended between the
-    /// two would take input that it had not looked for yet for missing.
+    /// Sets the times of the iteration that begins now: it delivers everything that arrived until `polled_at`, and
+    /// starts `delay` seconds late. Timers are compared with `polled_at` and not with the clock read after the poll: a
+    /// process suspended between the two would take input that it had not looked for yet for missing.
     pub fn set_poll_times(&mut self, polled_at: f64, delay: f64) {
         (self.polled_at, self.iteration_delay) = (polled_at, delay);
     }
--- a/crates/dewhead-proxy/src/reducer/clients.rs
+++ b/crates/dewhead-proxy/src/reducer/clients.rs
@@ -14,8 +14,8 @@
 use dewhead::terms::{Ending, Wanted};
 use log::debug;
 
-/// Time for a client's first `OPEN` line, in seconds, whatever it sends before: less than the three seconds within which a
-/// client that sends none must be closed.
+/// Time for a client's first `OPEN` line, in seconds, whatever it sends before: less than the three seconds within
+/// which a client that sends none must be closed.
 const FIRST_LINE_TIMEOUT_S: f64 = 2.5;
 /// A client that names the server it was established at is restored there within this many seconds, or given up.
 const RESTORE_TIMEOUT_S: f64 = 40.0;
@@ -23,8 +23,8 @@
 const MAX_PINGS: u32 = 4;
 /// Idle sessions are closed once fewer than one in this many descriptors is free.
 const MIN_FREE_DIVISOR: usize = 8;
-/// No session is closed for its descriptor before it has been idle for this many seconds, in which its client can send its
-/// first line, or read its final answer.
+/// No session is closed for its descriptor before it has been idle for this many seconds, in which its client can send
+/// its first line, or read its final answer.
 const MIN_IDLE_S: f64 = 0.1;
 
 impl Reducer {
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Closes idle sessions, those that have been idle for longest first, while few descriptors are free. Otherwise hundreds
-    /// of connections that send nothing, or are not closed once answered, would keep other clients out until their timers
-    /// expire.
+    /// Closes idle sessions, those that have been idle for longest first, while few descriptors are free. Otherwise
+    /// hundreds of connections that send nothing, or are not closed once answered, would keep other clients out until
+    /// their timers expire.
     pub(super) fn free_descriptors(&mut self, now: f64) {
         while self.descriptors.limit.saturating_sub(self.descriptors.used)
             < self.descriptors.limit / MIN_FREE_DIVISOR
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Starts or stops accepting: clients are accepted only while descriptors are left to reject them with. Accepting starts
-    /// again at a higher count than it stops at.
+    /// Starts or stops accepting: clients are accepted only while descriptors are left to reject them with. Accepting
+    /// starts again at a higher count than it stops at.
     pub(super) fn update_accepting(&mut self, now: f64) {
         let free = self.descriptors.limit.saturating_sub(self.descriptors.used);
         let accepting = if self.descriptors.accepting { free > 0 } else { free > REJECTION_DESCRIPTORS / 2 };
@@ -180,7 +180,8 @@
                 session.pings += 1;
                 session.head.drain(..end);
                 let more = !session.head.is_empty();
-                // Answered only while servers are known and no drain is in progress. Lines after it are processed either way.
+                // Answered only while servers are known and no drain is in progress. Lines after it are processed
+                // either way.
                 let can_serve = !self.servers.0.is_empty() && self.draining_since.is_none();
                 if can_serve {
                     self.effects.push(Effect::Write(Endpoint::Client(key), answers::PONG.to_vec()));
--- a/crates/dewhead-proxy/src/reducer/established.rs
+++ b/crates/dewhead-proxy/src/reducer/established.rs
@@ -59,15 +59,15 @@
         }
     }
 
-    /// Records a message delay estimated from one source (`LINE_DELAY` or `SETUP_DELAY`). Reports the larger estimate to the
-    /// balancer once a second while messages are slow, and once more when they no longer are.
+    /// Records a message delay estimated from one source (`LINE_DELAY` or `SETUP_DELAY`). Reports the larger estimate
+    /// to the balancer once a second while messages are slow, and once more when they no longer are.
     pub(super) fn report_message_delay(&mut self, now: f64, leg: usize, source: usize, delay: f64) {
         let out = &self.legs[leg];
         let Some(server) = self.servers.0.get_mut(&out.server) else { return };
         server.delays[source] = (delay, now);
-        // An estimate is used for one report interval only. When the last set-up's estimate was reported with each line that
-        // followed, the balancer took it for a new one every second: it lowered the server's limit for good, and no set-up
-        // took place that could have corrected it.
+        // An estimate is used for one report interval only. When the last set-up's estimate was reported with each line
+        // that followed, the balancer took it for a new one every second: it lowered the server's limit for good, and
+        // no set-up took place that could have corrected it.
         let recent = server.delays.iter().filter(|(_, at)| now - at < DELAY_REPORT_INTERVAL_S);
         let delay = recent.fold(0.0, |largest, (delay, _)| f64::max(largest, *delay));
         let slow = delay > self.slow_message_threshold;
--- a/crates/dewhead-proxy/src/reducer/legs.rs
+++ b/crates/dewhead-proxy/src/reducer/legs.rs
@@ -10,8 +10,8 @@
 use dewhead::terms::{Ending, State};
 use log::debug;
 
-/// A connection attempt that could not be started is repeated up to this many times, evenly spaced over the time in which the
-/// connection must be established.
+/// A connection attempt that could not be started is repeated up to this many times, evenly spaced over the time in
+/// which the connection must be established.
 const CONNECT_RETRIES: f64 = 20.0;
 
 /// The name of an ending in the counters.
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Starts leg `number` of the session's call. Returns false, and starts nothing, where the server has no address or too
-    /// few descriptors are free.
+    /// Starts leg `number` of the session's call. Returns false, and starts nothing, where the server has no address or
+    /// too few descriptors are free.
     pub(super) fn start_leg(&mut self, now: f64, key: usize, server: u64, until: f64, number: usize) -> bool {
         let address = self.servers.0.get(&server).and_then(|s| s.dial);
         let Some(to) =
@@ -218,7 +218,8 @@
         let Some(out) = self.legs.get(leg).filter(|l| l.stage == LegStage::Connecting) else { return };
         let session = &self.sessions[out.session];
         // The server may have been drained, removed, restarted or moved since the leg was started. Without these checks
-        // such legs still sent their requests, even after the drain's grace period where connecting took longer than that.
+        // such legs still sent their requests, even after the drain's grace period where connecting took longer than
+        // that.
         let address_unchanged = self.servers.0.get(&out.server).is_some_and(|s| s.dial == Some(out.to));
         let still_allowed = session.call.as_ref().is_none_or(|call| call.may_go(now, out.number));
         if !address_unchanged || !still_allowed || now >= out.until {
@@ -328,7 +329,8 @@
             LegStage::Parting => self.close_session(now, key, CloseKind::Graceful, CloseReason::ServerEnded),
             LegStage::Standing => {
                 if farewell.is_none() && self.sessions[key].down.between() {
-                    // Lost without an announcement: a client that is sent `MOVE` reconnects sooner than one that is cut off.
+                    // Lost without an announcement: a client that is sent `MOVE` reconnects sooner than one that is cut
+                    // off.
                     return self.move_client(now, key, Ending::Broken);
                 }
                 let ending = farewell.unwrap_or(Ending::Broken);
--- a/crates/dewhead-proxy/src/reducer/shutdown.rs
+++ b/crates/dewhead-proxy/src/reducer/shutdown.rs
@@ -46,7 +46,8 @@
         keys.into_iter().for_each(|key| self.limit_wait(now, key));
     }
 
-    /// Limits a waiting call and its legs to the answer deadline, if one is set, so that its client can still read the answer.
+    /// Limits a waiting call and its legs to the answer deadline, if one is set, so that its client can still read the
+    /// answer.
     pub(super) fn limit_wait(&mut self, now: f64, key: usize) {
         let Some(deadline) = self.answer_deadline else { return };
         let session = &mut self.sessions[key];
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Draws the time at which a client is moved in a drain that began at `start`: spread at random, after clients have stopped
-    /// arriving and well before the exit.
+    /// Draws the time at which a client is moved in a drain that began at `start`: spread at random, after clients have
+    /// stopped arriving and well before the exit.
     pub(super) fn pick_move_time(&mut self, start: f64) -> f64 {
         let latest = self
             .answer_deadline
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -17,11 +17,11 @@
 /// Time for the first line after the request, in seconds. The agent answers at once or is absent; an overloaded discovery
 /// answers within two seconds, and a shorter time-out would waste the work that it has begun.
 const WATCH_OPEN_TIMEOUT_S: f64 = 2.2;
-/// A first line may take `WATCH_SILENCE_TIMEOUT_S` times the number of failed attempts, at least once and at most this many
-/// times that, as a long list may arrive slowly.
+/// A first line may take `WATCH_SILENCE_TIMEOUT_S` times the number of failed attempts, at least once and at most this
+/// many times that, as a long list may arrive slowly.
 const MAX_FIRST_LINE_PERIODS: u32 = 4;
-/// Bytes of an incomplete first line that must arrive in each `WATCH_SILENCE_TIMEOUT_S`; with fewer, discovery is assumed to
-/// have stopped writing.
+/// Bytes of an incomplete first line that must arrive in each `WATCH_SILENCE_TIMEOUT_S`; with fewer, discovery is
+/// assumed to have stopped writing.
 const MIN_PROGRESS_BYTES: usize = 4096;
 /// Shortest and longest interval between two requests for the watch, in seconds, both varied at random. A watch that was
 /// open, or silent, for longer than the interval is requested again at once: a drain may be announced meanwhile, and
@@ -166,8 +166,8 @@
         }
         if version < self.watch.version {
             // A restarted discovery counts from one again. When its list was ignored until it had counted past the old
-            // version, servers that it drained meanwhile were still sent calls. A discovery that is merely behind makes no
-            // server ready again: one known as draining stays so until its process restarts or a change names it.
+            // version, servers that it drained meanwhile were still sent calls. A discovery that is merely behind makes
+            // no server ready again: one known as draining stays so until its process restarts or a change names it.
             warn!("discovery: version {version} after {}: its counter was reset", self.watch.version);
             for (listed, _) in &mut update.entries {
                 let known = self.servers.0.get(&listed.id);
