--- /dev/null
+++ b/crates/dewhead-proxy/src/reducer/handover.rs
@@ -0,0 +1,49 @@
+//! Handover: the state that a process exports to its successor, what the successor imports, and the retirement of the
+//! predecessor.
+
+use super::Reducer;
+use crate::state::handover_state::{self, HandoverState};
+use crate::state::set_up_latency::SetUpLatency;
+use log::info;
+use serde_json::Value;
+
+/// Learned state older than this is not imported, in multiples of the longest guard time; the list still is.
+const MAX_STATE_AGE: f64 = 20.0;
+
+impl Reducer {
+    /// Exports the list and what was learned of the servers, with its age.
+    pub fn export_state(&self, now: f64) -> Value {
+        let list = self.watch.entries.to_list(self.watch.version);
+        let setup_times = self.servers.0.iter().map(|(id, server)| (*id, &server.set_up_latency));
+        handover_state::encode(now, list, &self.balancer.snapshot(now), setup_times, &self.setup_baselines)
+    }
+
+    /// Imports what another process has learned of servers that are listed and have not restarted since.
+    pub fn import_state(&mut self, now: f64, handed: &HandoverState) {
+        let age = (now - handed.encoded_at).max(0.0);
+        if age > MAX_STATE_AGE * self.longest_guard_time {
+            return info!("handed-over state is ignored: it is {age:.0} s old");
+        }
+        let recalled = self.balancer.restore(now, age, &handed.servers);
+        for (id, (recent, usual, samples, last_age)) in &handed.set_up_latencies {
+            if let Some(server) = self.servers.0.get_mut(id) {
+                server.set_up_latency =
+                    SetUpLatency::restore(now, (*recent, *usual, *samples, last_age + age));
+            }
+        }
+        self.setup_baselines.restore(&handed.type_means);
+        info!("imported what was learned of {recalled} servers, {age:.1} s old");
+    }
+
+    /// Another process serves from now on: moves all clients away over this many seconds, then exits.
+    pub(super) fn begin_retirement(&mut self, now: f64, spread: f64) {
+        if self.exits_when_empty {
+            return;
+        }
+        info!("retiring: {} sessions are open", self.sessions.len());
+        self.exits_when_empty = true;
+        self.drain_spread = spread.max(0.0);
+        self.schedule_moves(now);
+        self.schedule_exit(now, self.drain_spread + self.longest_guard_time);
+    }
+}
