--- a/crates/dewhead-proxy/src/state/counters.rs
+++ b/crates/dewhead-proxy/src/state/counters.rs
@@ -1,29 +1,32 @@
-//! What has happened so far, by reason: for the log and the control socket.
+//! Event counters by reason, for the log and the control socket.
 
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Why a client's connection was closed.
+/// Why a client connection was closed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CloseReason {
-    /// The client ended it, in order or by a reset.
+    /// The client closed it with a FIN.
     ClientEnded,
+    /// The client reset it.
     ClientReset,
-    /// Its server ended it, in order or by a reset.
+    /// The server closed it with a FIN.
     ServerEnded,
+    /// The server reset it.
     ServerReset,
-    /// It had its last word and did not go in time.
+    /// The final answer was sent, and the client did not close the connection in time.
     ClosingTimedOut,
-    /// It never said what it wants.
+    /// No first line arrived in time.
     FirstLineOverdue,
-    /// Descriptors ran short, and it only held one.
+    /// File descriptors were short, and the connection was idle.
     Evicted,
-    /// The process ended.
+    /// The process exited.
     ProcessEnded,
 }
 
 impl CloseReason {
+    /// The name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientEnded => "client_ended",
@@ -38,27 +41,29 @@
     }
 }
 
-/// Why a client was given a last word of the proxy's own.
+/// Why the proxy itself sent the final answer to a client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AnswerReason {
-    /// The decisions turned it away or gave it up; they tell why.
+    /// The balancer rejected the call; its refusal reason is counted apart.
     Rejected,
+    /// The balancer released the call; its refusal reason is counted apart.
     Released,
-    /// Its first line was not understood, too long or late.
+    /// The first line was malformed, too long or late.
     InvalidFirstLine,
-    /// It went on talking while it waited for its answer.
+    /// The client sent data before it had its answer.
     DataBeforeAnswer,
-    /// A sign of life that is not given now.
+    /// A `PING` that is not answered now: no server is known, or the proxy is stopping.
     PingDeclined,
-    /// Its connection could not be put back.
+    /// The connection could not be restored to the server that held it before.
     RestoreFailed,
-    /// It was sent away to be placed anew, or with its server's end.
+    /// The client was told to `MOVE`, to be placed again or because its server ended the connection.
     Moved,
-    /// Its server stopped within a line.
+    /// The server stopped in the middle of a line.
     IncompleteLine,
 }
 
 impl AnswerReason {
+    /// The name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             AnswerReason::Rejected => "refused",
@@ -85,15 +90,17 @@
     }
 }
 
-/// Counts by name.
+/// Event counts by name.
 #[derive(Default)]
 pub struct CountsByName(BTreeMap<&'static str, u64>);
 
 impl CountsByName {
+    /// Adds one to the count under this name.
     pub fn count(&mut self, name: &'static str) {
         *self.0.entry(name).or_default() += 1;
     }
 
+    /// The counts as a JSON object.
     fn to_json(&self) -> Value {
         Value::Object(
             self.0.iter().map(|(name, count)| ((*name).to_owned(), json!(count))).collect::<Map<_, _>>(),
@@ -101,20 +108,25 @@
     }
 }
 
-/// All counts of a process.
+/// All counts of a process since its start.
 #[derive(Default)]
 pub struct Counters {
-    /// Attempts made, and how they ended.
+    /// Attempts made, retries included.
     pub attempts: u64,
+    /// Attempts after the first one of a call.
     pub retries: u64,
+    /// How attempts and established connections ended.
     pub endings: CountsByName,
-    /// Why no further attempt was made.
+    /// Why no further attempt was made for a call.
     pub refusals: CountsByName,
+    /// Final answers of the proxy itself, by `AnswerReason`.
     pub answers: CountsByName,
+    /// Closed client connections, by `CloseReason`.
     pub closes: CountsByName,
 }
 
 impl Counters {
+    /// All counts as the control socket reports them.
     pub fn to_json(&self) -> Value {
         json!({"attempts": self.attempts, "retries": self.retries, "endings": self.endings.to_json(),
                "refusals": self.refusals.to_json(), "answers": self.answers.to_json(), "closes": self.closes.to_json()})
--- a/crates/dewhead-proxy/src/state/handover_state.rs
+++ b/crates/dewhead-proxy/src/state/handover_state.rs
@@ -1,5 +1,5 @@
-//! What is known of the servers, in the form in which it is handed on: the list as discovery wrote it, what each server
-//! has shown, and how old that is.
+//! The state that a process hands over to its successor, as JSON: the server list as discovery wrote it, what was learned
+//! about each server, and how old that is.
 
 use super::set_up_latency::{SetUpLatency, TypeMeans};
 use crate::wire::server_list::ListVersion;
@@ -8,15 +8,17 @@
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
-/// The version of what is handed on. Another one is not read: a successor then starts from the list alone.
+/// Version of the JSON form. A successor does not read any other version and then starts from the list file alone.
 pub const FORMAT_VERSION: u64 = 2;
 
-/// The list's entries as they were written, by host; one leaves when the list says gone or names it no more. As trees they
-/// took two thirds of all that a proxy holds for a server.
+/// The text of each entry of the server list, by host name. An entry is removed when the list marks its server as gone or no
+/// longer names it. Kept as text, since parsed JSON trees took two thirds of all the memory that a proxy uses for a server.
 #[derive(Default)]
 pub struct RawEntries(BTreeMap<String, Box<str>>);
 
 impl RawEntries {
+    /// Applies a version of the list and moves the texts of its entries out of it. `whole`: the version is the full list,
+    /// not a change.
     pub fn apply(&mut self, whole: bool, version: &mut ListVersion) {
         if whole {
             self.0.clear();
@@ -30,55 +32,61 @@
         }
     }
 
-    /// The whole list, in discovery's form.
+    /// The full list under this version number, in discovery's form.
     pub fn to_list(&self, version: u64) -> Value {
         let hosts: Vec<Value> = self.0.values().filter_map(|text| serde_json::from_str(text).ok()).collect();
         json!({"seq": version, "whole": true, "hosts": hosts})
     }
 }
 
-fn pace(pace: &SetUpLatency, now: f64) -> Value {
-    let (recent, usual, seen, at) = pace.snapshot();
-    json!([recent, usual, seen, if seen > 0 { now - at } else { 0.0 }])
+fn set_up_latency_json(latency: &SetUpLatency, now: f64) -> Value {
+    let (recent, typical, count, last_at) = latency.snapshot();
+    json!([recent, typical, count, if count > 0 { now - last_at } else { 0.0 }])
 }
 
-fn learned(one: &Learned) -> Value {
-    json!({"server": one.server, "started": one.started, "limit": one.limit.map(|l| [l.0, l.1]), "carried": one.carried,
-           "outcomes": one.outcomes, "counted": one.counted, "judged": one.judged})
+fn learned_json(learned: &Learned) -> Value {
+    json!({"server": learned.server, "started": learned.started, "limit": learned.limit.map(|l| [l.0, l.1]), "carried": learned.carried,
+           "outcomes": learned.outcomes, "counted": learned.counted, "judged": learned.judged})
 }
 
-/// All of it, as of `now` on the Unix clock.
+/// Encodes the state as of `now`, in seconds since 1970; ages in it are relative to that.
 pub fn encode<'a>(
     now: f64,
     list: Value,
-    balancer: &[Learned],
-    paces: impl Iterator<Item = (u64, &'a SetUpLatency)>,
-    kinds: &TypeMeans,
+    learned: &[Learned],
+    set_up_latencies: impl Iterator<Item = (u64, &'a SetUpLatency)>,
+    type_means: &TypeMeans,
 ) -> Value {
-    let paces: Map<String, Value> = paces.map(|(id, one)| (id.to_string(), pace(one, now))).collect();
-    json!({"version": FORMAT_VERSION, "at": now, "list": list, "servers": balancer.iter().map(learned).collect::<Vec<_>>(),
-           "paces": paces, "kinds": kinds.snapshot()})
+    let set_up_latencies: Map<String, Value> =
+        set_up_latencies.map(|(id, latency)| (id.to_string(), set_up_latency_json(latency, now))).collect();
+    json!({"version": FORMAT_VERSION, "at": now, "list": list, "servers": learned.iter().map(learned_json).collect::<Vec<_>>(),
+           "paces": set_up_latencies, "kinds": type_means.snapshot()})
 }
 
-/// What another has handed on. Anything that makes no sense is left out, as if it had not been learned.
+/// The state that a predecessor handed over. Entries that can't be parsed are left out, as if they had not been learned.
 pub struct HandoverState {
+    /// When it was encoded, in seconds since 1970.
     pub encoded_at: f64,
+    /// The server list in discovery's form.
     pub list: Value,
+    /// What the balancer learned about each server.
     pub servers: Vec<Learned>,
+    /// By server: the recent mean, the typical mean, the number of samples, and the age of the last one in seconds.
     pub set_up_latencies: BTreeMap<u64, (f64, f64, u32, f64)>,
+    /// By traffic type and last over all types: the number of samples and their mean.
     pub type_means: Vec<(u32, f64)>,
 }
 
-fn whole(value: &Value) -> Option<u32> {
+fn as_u32(value: &Value) -> Option<u32> {
     value.as_u64().and_then(|n| u32::try_from(n).ok())
 }
 
-/// Reads it; none where the version is another.
-pub fn decode(told: &Value) -> Option<HandoverState> {
-    if told["version"].as_u64() != Some(FORMAT_VERSION) {
+/// Decodes the state; `None` where its version is a different one.
+pub fn decode(encoded: &Value) -> Option<HandoverState> {
+    if encoded["version"].as_u64() != Some(FORMAT_VERSION) {
         return None;
     }
-    let one = |value: &Value| {
+    let learned = |value: &Value| {
         let limit = match &value["limit"] {
             Value::Null => None,
             pair => Some((pair[0].as_f64()?, pair[1].as_f64()?)),
@@ -88,21 +96,27 @@
             started: value["started"].as_f64(),
             limit,
             carried: value["carried"].as_f64()?,
-            outcomes: whole(&value["outcomes"])?,
-            counted: whole(&value["counted"])?,
+            outcomes: as_u32(&value["outcomes"])?,
+            counted: as_u32(&value["counted"])?,
             judged: value["judged"].as_f64()?,
         })
     };
-    let pace = |(id, value): (&String, &Value)| {
-        let figures = (value[0].as_f64()?, value[1].as_f64()?, whole(&value[2])?, value[3].as_f64()?);
-        Some((id.parse().ok()?, figures))
+    let set_up_latency = |(id, value): (&String, &Value)| {
+        let (recent, typical, count, ago) =
+            (value[0].as_f64()?, value[1].as_f64()?, as_u32(&value[2])?, value[3].as_f64()?);
+        Some((id.parse().ok()?, (recent, typical, count, ago)))
     };
-    let kind = |value: &Value| Some((whole(&value[0])?, value[1].as_f64()?));
+    let type_mean = |value: &Value| Some((as_u32(&value[0])?, value[1].as_f64()?));
     Some(HandoverState {
-        encoded_at: told["at"].as_f64()?,
-        list: told["list"].clone(),
-        servers: told["servers"].as_array()?.iter().filter_map(one).collect(),
-        set_up_latencies: told["paces"].as_object()?.iter().filter_map(pace).collect(),
-        type_means: told["kinds"].as_array()?.iter().map(kind).collect::<Option<_>>().unwrap_or_default(),
+        encoded_at: encoded["at"].as_f64()?,
+        list: encoded["list"].clone(),
+        servers: encoded["servers"].as_array()?.iter().filter_map(learned).collect(),
+        set_up_latencies: encoded["paces"].as_object()?.iter().filter_map(set_up_latency).collect(),
+        type_means: encoded["kinds"]
+            .as_array()?
+            .iter()
+            .map(type_mean)
+            .collect::<Option<_>>()
+            .unwrap_or_default(),
     })
 }
