--- a/crates/dewhead-proxy/src/state/buffered_socket.rs
+++ b/crates/dewhead-proxy/src/state/buffered_socket.rs
@@ -1,30 +1,32 @@
-//! Sockets, each with the bytes that wait to be written to it. A buffer exists only while bytes wait in it.
+//! Non-blocking sockets with a write buffer. The buffer is allocated only while bytes wait in it.
 
 use mio::net::TcpStream;
 use std::io::{self, IoSlice, Write};
 use std::net::Shutdown;
 
-/// A head goes out in three parts: what comes before the waiting time, the time, and the rest.
-const MOST_PARTS: usize = 3;
+/// A first line is written in three parts: the text before the waiting time, the time, and the rest.
+const MAX_PARTS: usize = 3;
 
+/// A TCP socket and the bytes that wait to be written to it.
 pub struct BufferedSocket {
     pub socket: TcpStream,
-    /// Bytes that wait, and how many of them are gone already.
+    /// Bytes to write; the first `written` of them are written already.
     pending: Vec<u8>,
     written: usize,
-    /// To be shut for writing once nothing waits.
+    /// The write side is shut down once nothing is pending.
     shutdown_pending: bool,
-    /// Being dialled still.
+    /// The connection is not established yet.
     pub connecting: bool,
-    /// May have bytes to read that were left as the other side could not take them.
+    /// Bytes may be left to read, because the peer that they go to could not take them.
     pub readable: bool,
-    /// Nothing more will come.
+    /// The remote side has ended its stream, or the connection is broken.
     pub read_ended: bool,
-    /// The head is on its way; its last byte has not been written.
+    /// The first line has not been written to its last byte yet.
     pub head_pending: bool,
 }
 
 impl BufferedSocket {
+    /// Wraps a socket; `connecting`: its connection is not established yet.
     pub fn new(socket: TcpStream, connecting: bool) -> BufferedSocket {
         BufferedSocket {
             socket,
@@ -38,12 +40,17 @@
         }
     }
 
+    /// Whether nothing is pending.
     pub fn is_flushed(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Writes the parts until the socket takes no more; the rest waits. Nothing tells that a socket can be written to
-    /// again unless a write found it full, so that a short write alone is no reason to stop.
+    /// Writes the parts until the socket is full and buffers the rest. The poll reports a socket as writable again only after
+    /// a write has found it full, so a short write alone is no reason to stop.
+    ///
+    /// # Errors
+    ///
+    /// Those of `write_parts`.
     pub fn write(&mut self, parts: &[&[u8]]) -> io::Result<()> {
         let mut taken = 0;
         if self.is_flushed() && !self.connecting {
@@ -57,7 +64,11 @@
         Ok(())
     }
 
-    /// Writes what waits; true once all of it is gone.
+    /// Writes pending bytes until the socket is full; true once none is left.
+    ///
+    /// # Errors
+    ///
+    /// The socket's own, and `WriteZero` where it takes nothing without an error.
     pub fn flush(&mut self) -> io::Result<bool> {
         while self.written < self.pending.len() {
             match self.socket.write(&self.pending[self.written..]) {
@@ -77,34 +88,34 @@
         Ok(true)
     }
 
-    /// Ends the sending once all that waits is written.
+    /// Shuts down the write side once all pending bytes are written.
     pub fn finish_writing(&mut self) {
         if self.is_flushed() && !self.connecting {
-            // A socket that is gone already needs no end.
+            // Fails only if the connection is already gone.
             let _ = self.socket.shutdown(Shutdown::Write);
         } else {
             self.shutdown_pending = true;
         }
     }
 
-    /// Makes the close that follows a reset.
+    /// Makes the close that follows send a reset.
     pub fn reset_on_close(&self) {
         let _ = socket2::SockRef::from(&self.socket).set_linger(Some(std::time::Duration::ZERO));
     }
 }
 
-/// Writes the parts in order, as few calls as the socket allows; returns how many bytes it took before it was full.
+/// Writes the parts in order, in as few calls as the socket allows; returns how many bytes it took before it was full.
 ///
 /// # Errors
 ///
-/// The socket's own, but for `Interrupted` and `WouldBlock`; `WriteZero` where it takes nothing and says no error.
+/// The socket's own, except `Interrupted` and `WouldBlock`; `WriteZero` where it takes nothing without an error.
 pub fn write_parts(to: &mut impl Write, parts: &[&[u8]]) -> io::Result<usize> {
     let total: usize = parts.iter().map(|part| part.len()).sum();
     let mut taken = 0;
     while taken < total {
         match to.write_vectored(&remaining(parts, taken)) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-            Ok(more) => taken += more,
+            Ok(count) => taken += count,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
             Err(e) => return Err(e),
@@ -113,9 +124,9 @@
     Ok(taken)
 }
 
-/// What is left of the parts after their first `taken` bytes. A message has `MOST_PARTS` of them at the most.
-fn remaining<'a>(parts: &[&'a [u8]], mut taken: usize) -> [IoSlice<'a>; MOST_PARTS] {
-    let mut slices = [IoSlice::new(&[]); MOST_PARTS];
+/// What is left of the parts after their first `taken` bytes. There are `MAX_PARTS` of them at most.
+fn remaining<'a>(parts: &[&'a [u8]], mut taken: usize) -> [IoSlice<'a>; MAX_PARTS] {
+    let mut slices = [IoSlice::new(&[]); MAX_PARTS];
     for (slice, part) in slices.iter_mut().zip(parts) {
         let skip = taken.min(part.len());
         taken -= skip;
--- a/crates/dewhead-proxy/src/state/mod.rs
+++ b/crates/dewhead-proxy/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! What is kept: sessions and legs in slabs, sockets with the bytes that wait for them, addresses and timers.
+//! The state that a proxy keeps: sessions and legs, sockets with their write buffers, servers, timers, counters and what is
+//! handed over to a successor.
 
 pub mod buffered_socket;
 pub mod counters;
--- a/crates/dewhead-proxy/src/state/servers.rs
+++ b/crates/dewhead-proxy/src/state/servers.rs
@@ -1,4 +1,4 @@
-//! Servers as the list names them: where each is reached, and how long a message takes there.
+//! The servers of the list: their addresses, states and measured delays.
 
 use super::set_up_latency::SetUpLatency;
 use crate::wire::server_list::Entry;
@@ -6,43 +6,49 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
+/// What is kept for one server of the list.
 pub struct ServerRecord {
+    /// Where to connect; a server that is gone may have none.
     pub dial: Option<SocketAddr>,
     pub state: State,
+    /// Index of the zone.
     pub zone: usize,
     pub cell: u64,
     pub weight: f64,
-    /// When requests were sent there in the last window, while it is in slow start.
+    /// When requests were sent within the last slow-start window, in seconds; filled only while the server is in slow start.
     pub recent_sends: VecDeque<f64>,
+    /// When its process started, in seconds on this process's clock.
     pub started: Option<f64>,
-    /// The same as discovery tells it, by the wall clock.
+    /// The same by the wall clock, as discovery reported it.
     pub started_by_wall_clock: Option<f64>,
     pub set_up_latency: SetUpLatency,
-    /// What a message takes here, by its lines and by its set-ups, and when each sign was last seen.
+    /// How long a message takes here, estimated from lines and from set-ups, and when each estimate was made; in seconds.
     pub message_delays: [(f64, f64); 2],
-    /// When the module was last told of slow messages here, and whether they still were.
+    /// When the message delay was last reported to the balancer, in seconds.
     pub delay_reported_at: f64,
+    /// Whether messages were slow in that report.
     pub slow_reported: bool,
 }
 
-/// By the module's number; an entry goes when the list says gone or names it no more.
+/// The listed servers by id. A server is removed when the list marks it as gone or no longer names it.
 #[derive(Default)]
 pub struct Servers(pub BTreeMap<u64, ServerRecord>);
 
 impl Servers {
-    /// Follows the list; returns the servers that have left it.
+    /// Applies a version of the list and returns the servers that it removes. `whole`: the version is the full list, not a
+    /// change.
     pub fn apply(&mut self, whole: bool, entries: &[Entry]) -> Vec<u64> {
         let mut gone = Vec::new();
         if whole {
-            let named: BTreeSet<u64> = entries.iter().map(|(l, _)| l.id).collect();
-            gone.extend(self.0.keys().filter(|id| !named.contains(id)));
+            let listed_ids: BTreeSet<u64> = entries.iter().map(|(l, _)| l.id).collect();
+            gone.extend(self.0.keys().filter(|id| !listed_ids.contains(id)));
         }
         for (listed, dial) in entries {
             if listed.state == State::Gone {
                 gone.push(listed.id);
                 continue;
             }
-            let fresh = ServerRecord {
+            let new_record = ServerRecord {
                 dial: None,
                 state: listed.state,
                 zone: listed.zone,
@@ -56,16 +62,16 @@
                 delay_reported_at: f64::NEG_INFINITY,
                 slow_reported: false,
             };
-            let address = self.0.entry(listed.id).or_insert(fresh);
-            (address.state, address.zone, address.cell) = (listed.state, listed.zone, listed.cell);
-            address.weight = listed.weight;
-            address.dial = *dial;
-            if address.started != listed.started {
-                // A process that started anew has a pace of its own.
-                address.started = listed.started;
-                address.set_up_latency = SetUpLatency::default();
-                address.recent_sends.clear();
-                address.message_delays = [(0.0, f64::NEG_INFINITY); 2];
+            let record = self.0.entry(listed.id).or_insert(new_record);
+            (record.state, record.zone, record.cell) = (listed.state, listed.zone, listed.cell);
+            record.weight = listed.weight;
+            record.dial = *dial;
+            if record.started != listed.started {
+                // The process was restarted, and nothing measured before applies to it.
+                record.started = listed.started;
+                record.set_up_latency = SetUpLatency::default();
+                record.recent_sends.clear();
+                record.message_delays = [(0.0, f64::NEG_INFINITY); 2];
             }
         }
         for id in &gone {
--- a/crates/dewhead-proxy/src/state/sessions.rs
+++ b/crates/dewhead-proxy/src/state/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions and legs. A session is one client's connection, from its first byte until both it and its legs are
-//! closed; a leg is one connection to a server for it.
+//! Sessions and legs. A session is one client's connection, from when it is accepted until it and all its legs are closed;
+//! a leg is one connection to a server on its behalf.
 
 use super::timers::Timer;
 use crate::guard::SentAttempt;
@@ -11,59 +11,67 @@
 use std::ops::Range;
 use std::rc::Rc;
 
+/// The state of a session.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SessionStage {
-    /// Its first line has not come yet.
+    /// The first line has not arrived yet.
     AwaitingFirstLine,
     /// The call waits for a server's answer.
     AwaitingServer,
-    /// It stood at a server before, and is put back there.
+    /// The connection was established at a server before, and is being restored there.
     Restoring,
+    /// Connected to a server; lines pass in both directions.
     Established,
-    /// Answered or ended; only its last bytes are on their way.
+    /// Answered or ended; only the remaining bytes are still written.
     Closing,
 }
 
+/// One client's connection.
 pub struct Session {
-    /// Tells this holder of the slot from earlier ones.
+    /// The slot and a serial number, which tells this session from earlier ones in the same slot.
     pub id: u64,
     pub stage: SessionStage,
-    /// The id that its client gave it, while its request is open.
+    /// The id that the client gave its request, while the request is open.
     pub request_id: Option<u64>,
-    /// Its place among those that only wait for their client.
+    /// Key in the list of idle sessions, which only wait for their client.
     pub idle_position: Option<u64>,
-    /// LineScanner of its client that asked for nothing but a sign of life.
+    /// `PING` lines received.
     pub pings: u32,
-    /// The first line; given back once the call stands.
+    /// The first line; freed once the call is established.
     pub first_line: Vec<u8>,
-    /// Where in it the client's waiting time stands.
+    /// Where the client's waiting time is in the first line.
     pub wait_range: Range<usize>,
+    /// Index of the traffic type.
     pub traffic: usize,
     pub call: Option<Rc<Call>>,
-    /// Legs out: the number each has in the call, and its slot.
+    /// Open legs: the leg's number in the call, and its slot.
     pub legs: Vec<(usize, usize)>,
     /// Legs sent so far.
     pub legs_sent: usize,
-    /// LineScanner from the server to the client.
+    /// Lines from the server to the client.
     pub from_server: LineScanner,
-    /// LineScanner from the client: how many have had no line back, when the last came, and the oldest of them.
+    /// Lines from the client to the server.
     pub from_client: LineScanner,
+    /// Lines from the client that have not been answered by a line.
     pub unanswered_lines: u32,
+    /// When the client's last line arrived, in seconds.
     pub last_line_at: f64,
+    /// When the oldest unanswered line arrived, in seconds.
     pub unanswered_since: Option<f64>,
-    /// To be moved as soon as the server's present line is through, and how its leg then ends.
+    /// Set where the client is to be sent `MOVE` once the server's current line is complete: how its leg then ends.
     pub pending_move: Option<Ending>,
-    /// For greeting, silence and parting, one after the other.
+    /// The timeout for the first line, for the server's silence, and for closing, one after the other.
     pub timer: Option<Timer>,
-    /// For the call's own wake and for leaving at a stop.
+    /// The call's own timer, or the time to send `MOVE` at a stop.
     pub wake_timer: Option<Timer>,
-    /// The first attempt that may have run, as the guard knows it.
+    /// The first attempt that may have been executed, for the guard's check.
     pub may_have_run: Option<SentAttempt>,
-    /// For `Returning`: the server that held it before, and what it wants.
+    /// While `Restoring`: the server that held the connection before, and the call's requirements.
     pub restoring: Option<(u64, Wanted)>,
 }
 
-/// The client's id of a session, for the log: by it a request is followed through all proxies that it came to.
+/// How a session is named in the log: by the id that the client gave its request. The id is the same at all proxies, so
+/// that a request can be followed through them.
 pub struct LogId(Option<u64>);
 
 impl fmt::Display for LogId {
@@ -76,11 +84,12 @@
 }
 
 impl Session {
+    /// The name of this session in the log.
     pub fn log_id(&self) -> LogId {
         LogId(self.request_id)
     }
 
-    /// The leg that it stands on, also while its last lines go through.
+    /// The slot of the leg that the session is established on, also while its last lines are passed on.
     pub fn established_leg(&self) -> Option<usize> {
         match self.stage {
             SessionStage::Established | SessionStage::Closing => self.legs.first().map(|(_, leg)| *leg),
@@ -89,33 +98,40 @@
     }
 }
 
+/// The state of a leg.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LegStage {
-    /// To be dialled once this machine can.
+    /// Not connecting yet: this machine was out of descriptors, memory or local ports for a moment.
     Queued,
     Connecting,
-    /// The head's last byte is written.
+    /// The last byte of the first line is written.
     AwaitingAnswer,
+    /// The server has accepted the call; lines pass in both directions.
     Established,
+    /// Ended; the server's last lines are still passed on.
     Closing,
 }
 
+/// One connection to a server on behalf of a session.
 pub struct ServerLeg {
+    /// Slot of the session.
     pub session: usize,
-    /// Its number in the call.
+    /// The leg's number in the call.
     pub number: usize,
+    /// Id of the server.
     pub server: u64,
-    /// Where it was dialled.
+    /// The address that it was dialled at.
     pub address: SocketAddr,
     pub stage: LegStage,
-    /// The server's answer, until its line is whole; given back once the call stands.
+    /// The server's answer until its first line is complete; freed once the call is established.
     pub answer: Vec<u8>,
-    /// Its connection is up by then, and the server has answered by then.
+    /// The deadline for the connection to come up, in seconds.
     pub connect_by: f64,
+    /// The deadline for the server's answer, in seconds.
     pub answer_by: f64,
-    /// When its head's last byte was written.
+    /// When the last byte of the first line was written, in seconds.
     pub head_sent_at: f64,
     pub timer: Option<Timer>,
-    /// The last line said that the server ends the connection: served, or sent away.
+    /// How the connection will end, as announced by the server's last line: served, or sent away by `MOVE`.
     pub announced_ending: Option<Ending>,
 }
--- a/crates/dewhead-proxy/src/state/start_times.rs
+++ b/crates/dewhead-proxy/src/state/start_times.rs
@@ -1,44 +1,46 @@
-//! When servers started, on the process's own clock. Discovery tells it by the wall clock, which may be stepped; how long
-//! ago that was must not change with it.
+//! When servers started, on this process's own clock. Discovery reports start times by the wall clock, which may be
+//! stepped; a step must not change how long ago a server started.
 
-/// The wall clock has been stepped where it differs by more than this from what it was; less is the reading's own error.
-const STEP: f64 = 0.1;
-/// So many of the latest steps are remembered.
-const MOST_STEPS: usize = 8;
-/// A server can't have started later than now, but for what machines' clocks differ by.
-const SKEW: f64 = 1.0;
+/// A change of the wall clock's offset by more than this is a step, in seconds; smaller ones are reading errors.
+const MIN_STEP: f64 = 0.1;
+/// How many of the latest steps are kept.
+const MAX_STEPS: usize = 8;
+/// How far in the future a server's start time may be, in seconds: the clocks of two machines differ.
+const MAX_CLOCK_SKEW: f64 = 1.0;
 
-/// By how much the wall clock has been ahead of the process's own, the latest last.
+/// The wall clock's offset from the process's clock.
 pub struct WallClock {
-    ahead: Vec<f64>,
+    /// In seconds, the latest last: how far the wall clock was ahead after each step.
+    offsets: Vec<f64>,
 }
 
 impl Default for WallClock {
-    /// The process's clock starts by the wall clock.
+    /// The process's clock is set to the wall clock at the start.
     fn default() -> WallClock {
-        WallClock { ahead: vec![0.0] }
+        WallClock { offsets: vec![0.0] }
     }
 }
 
 impl WallClock {
-    /// The wall clock is this many seconds ahead now. Returns by how much it was stepped, if it was.
-    pub fn observe(&mut self, ahead: f64) -> Option<f64> {
-        let before = self.ahead.last().copied().unwrap_or(0.0);
-        if (ahead - before).abs() <= STEP {
+    /// Records that the wall clock is this many seconds ahead now. Returns by how much it was stepped, if it was.
+    pub fn observe(&mut self, offset: f64) -> Option<f64> {
+        let before = self.offsets.last().copied().unwrap_or(0.0);
+        if (offset - before).abs() <= MIN_STEP {
             return None;
         }
-        if self.ahead.len() == MOST_STEPS {
-            self.ahead.remove(0);
+        if self.offsets.len() == MAX_STEPS {
+            self.offsets.remove(0);
         }
-        self.ahead.push(ahead);
-        Some(ahead - before)
+        self.offsets.push(offset);
+        Some(offset - before)
     }
 
-    /// When a server started on the process's clock, where the wall clock showed `born`, in seconds. It may have been
-    /// written before or after a step: the latest time that is not in the future holds, so that a server that has just
-    /// started is never taken for one that is warm.
-    pub fn to_process_clock(&self, now: f64, born: f64) -> f64 {
-        let possible = self.ahead.iter().map(|ahead| born - ahead).filter(|at| *at <= now + SKEW);
+    /// Converts a start time by the wall clock to the process's clock, both in seconds. The time may have been written
+    /// before or after a step: of the possible results the latest that is not in the future holds, so that a server that
+    /// has just started is never taken for a warm one.
+    pub fn to_process_clock(&self, now: f64, wall_time: f64) -> f64 {
+        let possible =
+            self.offsets.iter().map(|offset| wall_time - offset).filter(|at| *at <= now + MAX_CLOCK_SKEW);
         possible.reduce(f64::max).unwrap_or(now)
     }
 }
