--- a/crates/dewhead-proxy/src/wire/first_line.rs
+++ b/crates/dewhead-proxy/src/wire/first_line.rs
@@ -1,111 +1,120 @@
-//! The line that a client's connection begins with.
+//! The first line of a client's connection: a request to open a connection, or a health check.
 
 use dewhead::terms::Wanted;
 use dewhead_startup::Known;
 use std::ops::Range;
 
-/// The names that we know.
-const NAMES: [&str; 8] = ["c", "t", "d", "g", "h", "r", "again", "at"];
+/// The parameter names that are checked.
+const KNOWN_NAMES: [&str; 8] = ["c", "t", "d", "g", "h", "r", "again", "at"];
 
-/// What a connection begins with. Places are places in its line, which is kept and written out again.
+/// A parsed first line. Ranges are byte ranges within the line, which is forwarded to the server later.
 #[derive(Debug)]
 pub enum FirstLine {
+    /// A health check.
     Ping,
+    /// A request to open a connection.
     Open {
-        /// The client's name for its request.
+        /// The id that the client gave its request.
         id: u64,
+        /// What the call requires.
         wanted: Wanted,
-        /// Where the client's waiting time stands.
+        /// The value of the client's waiting time.
         wait_range: Range<usize>,
-        /// Where the name of the server stands that holds the connection already.
+        /// The host name of the server that held the connection before, if the client reconnects.
         server_range: Option<Range<usize>>,
     },
 }
 
-/// Reads the line in place. `now` is when it came; `longest` is how long a client waits that does not say. Each name
-/// that we know is checked, and may come once; others pass, as clients may send further figures.
+/// Parses a line with its CRLF. `now` is when it arrived, in seconds; `default_wait` is how long a client waits that does
+/// not say, in seconds; `accept_groups` is whether groups are used here. Each known parameter is checked and may appear
+/// once; unknown ones are ignored, as clients may send others.
+///
+/// # Errors
+///
+/// What is wrong with the line, for the log.
 pub fn parse_first_line(
     line: &[u8],
     now: f64,
-    longest: f64,
+    default_wait: f64,
     known: &Known,
-    groups: bool,
+    accept_groups: bool,
 ) -> Result<FirstLine, &'static str> {
-    // It goes on as it came: what a server would not take for one line of text must not get that far.
+    // The line is forwarded unchanged, so anything that a server might not read as one line of text is refused here.
     let text = line.strip_suffix(b"\r\n").ok_or("it does not end with CRLF")?;
-    let text = std::str::from_utf8(text).map_err(|_| "not text")?;
+    let text = std::str::from_utf8(text).map_err(|_| "it is not UTF-8")?;
     if text.contains(char::is_control) {
-        return Err("control characters");
+        return Err("it contains control characters");
     }
     if text == "PING" {
         return Ok(FirstLine::Ping);
     }
     let mut parts = text.split(' ');
     if parts.next() != Some("OPEN") {
-        return Err("neither OPEN nor PING");
+        return Err("it begins with neither OPEN nor PING");
     }
     let id = parts.next().filter(|id| id.len() == 16).and_then(hex).ok_or("the id is not 16 hex digits")?;
     parts.next().and_then(hex).ok_or("the key is not hex digits")?;
-    let list = parts.next().ok_or("no list of names and values")?;
+    let list = parts.next().ok_or("it has no parameter list")?;
     if parts.next().is_some() {
-        return Err("not four words");
+        return Err("it has more than four words");
     }
     let mut wanted =
-        Wanted { traffic: usize::MAX, shop: None, until: now + longest, hint: None, group: None };
-    let (mut wait_range, mut server_range, mut seen) = (0..0, None, [false; NAMES.len()]);
-    // The list is the line's last word.
-    let mut at = text.len() - list.len();
+        Wanted { traffic: usize::MAX, shop: None, until: now + default_wait, hint: None, group: None };
+    let (mut wait_range, mut server_range, mut seen) = (0..0, None, [false; KNOWN_NAMES.len()]);
+    // The parameter list is the last word of the line.
+    let mut offset = text.len() - list.len();
     for pair in list.split(',') {
-        let (name, value) = pair.split_once('=').ok_or("a name without a value")?;
-        let place = at + name.len() + 1..at + pair.len();
-        at = place.end + 1;
-        if let Some(seen) = NAMES.iter().position(|n| *n == name).map(|n| &mut seen[n]) {
+        let (name, value) = pair.split_once('=').ok_or("a parameter has no value")?;
+        let value_range = offset + name.len() + 1..offset + pair.len();
+        offset = value_range.end + 1;
+        if let Some(seen) = KNOWN_NAMES.iter().position(|n| *n == name).map(|n| &mut seen[n]) {
             if std::mem::replace(seen, true) {
-                return Err("a name that comes twice");
+                return Err("a parameter appears twice");
             }
         }
         match name {
-            "c" => wanted.traffic = place_of(value, &known.traffic).ok_or("an unknown traffic type")?,
-            "t" => wanted.shop = Some(place_of(value, &known.shops).ok_or("an unknown shop")?),
+            "c" => wanted.traffic = index_of(value, &known.traffic).ok_or("the traffic type is unknown")?,
+            "t" => wanted.shop = Some(index_of(value, &known.shops).ok_or("the tenant is unknown")?),
             "d" => {
-                let within = figure(value).filter(|ms| *ms > 0.0 && *ms <= f64::from(u32::MAX));
-                wanted.until = now + within.ok_or("a waiting time that is no number")? / 1000.0;
-                wait_range = place;
+                let wait_ms = decimal(value).filter(|ms| *ms > 0.0 && *ms <= f64::from(u32::MAX));
+                wanted.until = now + wait_ms.ok_or("the waiting time is not a positive number")? / 1000.0;
+                wait_range = value_range;
             }
             "g" => {
-                let group = hex(value).ok_or("a group that is not hex digits")?;
-                wanted.group = Some(group).filter(|_| groups);
+                let group = hex(value).ok_or("the group is not hex digits")?;
+                wanted.group = Some(group).filter(|_| accept_groups);
             }
-            // Microseconds of work a second, as LOAD has it.
-            "h" => wanted.hint = Some(figure(value).ok_or("a load that is no number")? / 1e6),
-            "r" | "again" if !["0", "1"].contains(&value) => return Err("a mark that is neither 0 nor 1"),
-            "at" if value.is_empty() => return Err("no server named"),
-            "at" => server_range = Some(place),
+            // In microseconds of work a second, as in LOAD.
+            "h" => wanted.hint = Some(decimal(value).ok_or("the load is not a number")? / 1e6),
+            "r" | "again" if !["0", "1"].contains(&value) => return Err("a flag is neither 0 nor 1"),
+            "at" if value.is_empty() => return Err("the server has no name"),
+            "at" => server_range = Some(value_range),
             _ => {}
         }
     }
     match wanted.traffic {
-        usize::MAX => Err("no traffic type"),
-        _ if wait_range.is_empty() => Err("no waiting time"),
+        usize::MAX => Err("the traffic type is missing"),
+        _ if wait_range.is_empty() => Err("the waiting time is missing"),
         _ => Ok(FirstLine::Open { id, wanted, wait_range, server_range }),
     }
 }
 
-fn place_of(name: &str, names: &[String]) -> Option<usize> {
+fn index_of(name: &str, names: &[String]) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
+/// Parses hexadecimal digits without a sign.
 fn hex(digits: &str) -> Option<u64> {
-    let all = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_hexdigit());
-    if all {
+    let only_digits = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_hexdigit());
+    if only_digits {
         u64::from_str_radix(digits, 16).ok()
     } else {
         None
     }
 }
 
-/// Digits, with a fraction perhaps; what else a number may look like, clients do not send.
-fn figure(digits: &str) -> Option<f64> {
-    let plain = digits.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    digits.parse::<f64>().ok().filter(|f| plain && f.is_finite())
+/// Parses decimal digits with an optional fraction; signs, exponents and the like are refused.
+fn decimal(digits: &str) -> Option<f64> {
+    let only_digits = digits.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    digits.parse::<f64>().ok().filter(|f| only_digits && f.is_finite())
 }
--- a/crates/dewhead-proxy/src/wire/http.rs
+++ b/crates/dewhead-proxy/src/wire/http.rs
@@ -1,11 +1,13 @@
-//! Discovery's watch: an HTTP answer that stays open, its chunks cut anywhere, one JSON object a line.
+//! The watch on discovery: a long-lived HTTP response with one JSON object a line. Its chunks may be split anywhere.
 
-/// The longest line of a watch; a longer one is a fault. An entry takes about 140 bytes and, once read, a kilobyte or so, and
-/// the smallest proxy has 32 MB: as many servers as one can hold have room in a line, and the line in it.
+/// The longest line of a watch; a longer one is an error. An entry takes about 140 bytes in the line and about a kilobyte once
+/// parsed, and the smallest proxy has 32 MB: a line has room for as many servers as a proxy can hold, and the proxy has room
+/// for the line.
 const MAX_LINE_BYTES: usize = 4 << 20;
+/// The longest response head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// The request for all changes since a version.
+/// The HTTP request for all changes of the server list since this version.
 pub fn watch_request(host: &str, since: u64) -> Vec<u8> {
     format!(
         "GET /v1/servers?follow=1&since={since} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
@@ -13,83 +15,94 @@
     .into_bytes()
 }
 
+/// The error for a line over `MAX_LINE_BYTES`.
 pub const LINE_TOO_LONG: &str = "a line is longer than 4 MiB; the list held is kept";
-/// The fault of an answer that serves nothing.
-pub const STATUS_NOT_OK: &str = "it did not answer 200";
+/// The error for a response with a status other than 200.
+pub const STATUS_NOT_OK: &str = "the HTTP status is not 200";
 
-enum Body {
+/// What is expected next.
+enum Expected {
+    /// The response head.
     Head,
-    /// Before a chunk's size; then so many bytes of it are left.
-    Size,
-    Chunk(usize),
-    /// The line end behind a chunk, so many bytes of it left.
-    Behind(usize),
-    /// No chunks: all that comes.
+    /// The line with a chunk's size.
+    ChunkSize,
+    /// Data of a chunk, with this many bytes left.
+    ChunkData(usize),
+    /// The line end after a chunk, with this many bytes left.
+    ChunkEnd(usize),
+    /// Data without chunks, up to the end of the connection.
     Plain,
 }
 
-/// Bytes of the answer that are not yet a line; both buffers go with the watch.
+/// Reads the response of a watch; it keeps the bytes that are not a complete line yet.
 pub struct WatchResponse {
+    /// Bytes not decoded yet: part of the head or of a chunk's size.
     raw: Vec<u8>,
+    /// The incomplete line.
     line: Vec<u8>,
-    body: Body,
+    expected: Expected,
 }
 
 impl Default for WatchResponse {
     fn default() -> WatchResponse {
-        WatchResponse { raw: Vec::new(), line: Vec::new(), body: Body::Head }
+        WatchResponse { raw: Vec::new(), line: Vec::new(), expected: Expected::Head }
     }
 }
 
 impl WatchResponse {
-    /// Takes further bytes; `seen` is told each whole line, empty ones too. False: the answer is at its end.
-    pub fn feed(&mut self, bytes: &[u8], mut seen: impl FnMut(&[u8])) -> Result<bool, &'static str> {
+    /// Takes further bytes. `on_line` is called for each complete line, also for empty ones. False: the response is complete.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with the response, for the log.
+    pub fn feed(&mut self, bytes: &[u8], mut on_line: impl FnMut(&[u8])) -> Result<bool, &'static str> {
         self.raw.extend_from_slice(bytes);
         let raw = std::mem::take(&mut self.raw);
         let mut rest = &raw[..];
         let more = loop {
-            match self.body {
-                Body::Head => match head(rest)? {
+            match self.expected {
+                Expected::Head => match parse_head(rest)? {
                     Some((length, chunked)) => {
                         rest = &rest[length..];
-                        self.body = if chunked { Body::Size } else { Body::Plain };
+                        self.expected = if chunked { Expected::ChunkSize } else { Expected::Plain };
                     }
-                    None if rest.len() > MAX_HEAD_BYTES => return Err("its head is too long"),
+                    None if rest.len() > MAX_HEAD_BYTES => return Err("the response head is too long"),
                     None => break true,
                 },
-                Body::Size => match httparse::parse_chunk_size(rest) {
+                Expected::ChunkSize => match httparse::parse_chunk_size(rest) {
                     Ok(httparse::Status::Complete((_, 0))) => break false,
                     Ok(httparse::Status::Complete((used, size))) => {
                         rest = &rest[used..];
-                        self.body = Body::Chunk(usize::try_from(size).map_err(|_| "a chunk is too long")?);
+                        self.expected =
+                            Expected::ChunkData(usize::try_from(size).map_err(|_| "a chunk is too long")?);
                     }
                     Ok(httparse::Status::Partial) if rest.len() < 64 => break true,
-                    _ => return Err("a chunk has no size"),
+                    _ => return Err("a chunk has no valid size"),
                 },
-                Body::Chunk(left) => {
+                Expected::ChunkData(left) => {
                     let piece = &rest[..left.min(rest.len())];
                     rest = &rest[piece.len()..];
-                    self.lines(piece, &mut seen)?;
+                    self.lines(piece, &mut on_line)?;
                     if piece.len() < left {
-                        self.body = Body::Chunk(left - piece.len());
+                        self.expected = Expected::ChunkData(left - piece.len());
                         break true;
                     }
-                    self.body = Body::Behind(2);
+                    self.expected = Expected::ChunkEnd(2);
                 }
-                Body::Behind(left) => {
+                Expected::ChunkEnd(left) => {
                     let piece = &rest[..left.min(rest.len())];
                     if piece.iter().any(|b| !b"\r\n".contains(b)) {
                         return Err("a chunk is longer than its size");
                     }
                     rest = &rest[piece.len()..];
                     if piece.len() < left {
-                        self.body = Body::Behind(left - piece.len());
+                        self.expected = Expected::ChunkEnd(left - piece.len());
                         break true;
                     }
-                    self.body = Body::Size;
+                    self.expected = Expected::ChunkSize;
                 }
-                Body::Plain => {
-                    self.lines(rest, &mut seen)?;
+                Expected::Plain => {
+                    self.lines(rest, &mut on_line)?;
                     rest = &[];
                     break true;
                 }
@@ -99,7 +112,8 @@
         Ok(more)
     }
 
-    fn lines(&mut self, bytes: &[u8], seen: &mut impl FnMut(&[u8])) -> Result<(), &'static str> {
+    /// Takes decoded bytes and calls `on_line` for each complete line.
+    fn lines(&mut self, bytes: &[u8], on_line: &mut impl FnMut(&[u8])) -> Result<(), &'static str> {
         for piece in bytes.split_inclusive(|b| *b == b'\n') {
             if self.line.len() + piece.len() > MAX_LINE_BYTES {
                 return Err(LINE_TOO_LONG);
@@ -107,29 +121,29 @@
             self.line.extend_from_slice(piece);
             if piece.ends_with(b"\n") {
                 let line = std::mem::take(&mut self.line);
-                seen(super::lines::trim_line_end(&line));
+                on_line(super::lines::trim_line_end(&line));
             }
         }
         Ok(())
     }
 }
 
-/// How long the head is, and whether chunks follow.
-fn head(bytes: &[u8]) -> Result<Option<(usize, bool)>, &'static str> {
+/// The length of the response head, and whether the body is chunked; `None` while the head is incomplete.
+fn parse_head(bytes: &[u8]) -> Result<Option<(usize, bool)>, &'static str> {
     let mut fields = [httparse::EMPTY_HEADER; 32];
-    let mut answer = httparse::Response::new(&mut fields);
-    match answer.parse(bytes) {
+    let mut response = httparse::Response::new(&mut fields);
+    match response.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
-            if answer.code != Some(200) {
+            if response.code != Some(200) {
                 return Err(STATUS_NOT_OK);
             }
-            let chunked = answer.headers.iter().any(|h| {
+            let chunked = response.headers.iter().any(|h| {
                 h.name.eq_ignore_ascii_case("transfer-encoding")
                     && h.value.trim_ascii().eq_ignore_ascii_case(b"chunked")
             });
             Ok(Some((length, chunked)))
         }
         Ok(httparse::Status::Partial) => Ok(None),
-        Err(_) => Err("its head is no HTTP"),
+        Err(_) => Err("the response head is not valid HTTP"),
     }
 }
--- a/crates/dewhead-proxy/src/wire/mod.rs
+++ b/crates/dewhead-proxy/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! What is spoken: pure functions on bytes, with no socket and no clock.
+//! Parsing and writing of the protocols: pure functions on bytes, without sockets or clocks.
 
 pub mod answers;
 pub mod first_line;
