--- a/crates/dewhead-proxy/src/clock.rs
+++ b/crates/dewhead-proxy/src/clock.rs
@@ -1,37 +1,39 @@
-//! The process's clock: monotonic, and on the scale of Unix time as it was at the start.
+//! The process's clock: monotonic, and set to Unix time at the start.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Two clocks read one after the other are compared only where no more than this lies between.
-const APART: Duration = Duration::from_millis(10);
+/// Two clocks that are read one after the other are compared only if no more than this passed in between.
+const MAX_READ_GAP: Duration = Duration::from_millis(10);
 
-/// Seconds since 1970 as they were told at the start, counted on by a clock that never steps.
+/// Counts seconds since 1970 from the wall clock's time at the start, without following its steps.
 pub struct Clock {
-    began: Instant,
-    offset: f64,
+    start: Instant,
+    /// Unix time at the start, in seconds.
+    start_time: f64,
 }
 
+/// The wall clock, in seconds since 1970; 0 before that, as discovery reports no start times from before 1970 either.
 fn wall() -> f64 {
-    // Before 1970 nothing is told of when servers started, either.
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64())
 }
 
 impl Clock {
+    /// A clock that is set to the wall clock now.
     pub fn start() -> Clock {
-        Clock { began: Instant::now(), offset: wall() }
+        Clock { start: Instant::now(), start_time: wall() }
     }
 
-    /// Seconds, monotonic.
+    /// The current time, in seconds; monotonic.
     pub fn now(&self) -> f64 {
-        self.offset + self.began.elapsed().as_secs_f64()
+        self.start_time + self.start.elapsed().as_secs_f64()
     }
 
-    /// By how many seconds the wall clock is ahead of this one: what it has been stepped by since the start. `None` where
-    /// the process was held up between reading the two.
+    /// How many seconds the wall clock is ahead of this one: the sum of its steps since the start. `None` where the process was
+    /// delayed between reading the two.
     pub fn wall_clock_offset(&self) -> Option<f64> {
         let before = Instant::now();
         let wall = wall();
         let own = self.now();
-        (before.elapsed() <= APART).then_some(wall - own)
+        (before.elapsed() <= MAX_READ_GAP).then_some(wall - own)
     }
 }
--- a/crates/dewhead-proxy/src/guard.rs
+++ b/crates/dewhead-proxy/src/guard.rs
@@ -1,8 +1,8 @@
-//! The promises that every path has to keep, checked at run time in the one place where each could be broken: before a
+//! Invariants that hold on every code path, checked at run time in the one place where each could be violated: before a
 //! request is sent, before it is repeated, before a connection is closed, and while a server is in slow start.
 //!
-//! The checks go by what the proxy itself has seen and share nothing with the decisions that they check. What fails one
-//! is a fault of the program: it is counted, told in the log with the request's id, and not done where that is possible.
+//! The checks use only what the proxy itself has observed and share no state with the decisions that they check. A violation
+//! is a bug: it is counted, logged with the request's id, and the action is not carried out where that is possible.
 
 pub mod cold_start;
 
@@ -10,30 +10,32 @@
 use log::error;
 use std::fmt;
 
-/// A promise that was about to be broken.
+/// An invariant that was about to be violated.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Violation {
-    /// A request was to be sent for a client that no longer waits for it.
+    /// A request was to be sent whose client no longer waits for it.
     SentWithoutClient,
-    /// A request was to be sent after its time.
+    /// A request was to be sent after its deadline.
     SentAfterDeadline,
     /// A request was to be sent to a server that is not ready.
     SentToUnreadyServer,
-    /// A second attempt was to overlap one that is out, where that is not allowed.
+    /// A second attempt was to be made while another one is open, where that is not allowed.
     OverlappingAttempts,
-    /// A request that may have run was to be sent where a repeat is not known to be harmless.
+    /// A request that may have been executed was to be sent to a server that might execute it again.
     UnsafeRepeat,
-    /// A connection was closed with a request read and no answer given.
+    /// A connection was closed after a request was read and before it was answered.
     ClosedUnanswered,
-    /// A standing connection was closed without `MOVE` while its server answered.
+    /// An established connection was closed without `MOVE` while its server was responding.
     CutWithoutMove,
-    /// A server in slow start was sent more by this proxy than all proxies together may send it.
+    /// This proxy alone sent a server in slow start more than all proxies together may send it.
     SlowStartExceeded,
-    /// A process ended before its predecessor, with which a supervisor may kill clients that were not told to move.
+    /// A process exited before its predecessor. Its supervisor may then kill the predecessor, whose clients have not been
+    /// sent `MOVE` yet.
     EndedBeforePredecessor,
 }
 
 impl Violation {
+    /// All violations, in the order of their declaration.
     pub const ALL: [Violation; 9] = [
         Violation::SentWithoutClient,
         Violation::SentAfterDeadline,
@@ -68,135 +70,152 @@
     }
 }
 
-/// What is known in the moment before a request's first byte is written.
+/// The facts immediately before a request's first byte is written.
 pub struct SendFacts {
+    /// Whether the client still waits for the answer.
     pub client_waiting: bool,
+    /// Whether the request's deadline is still to come.
     pub before_deadline: bool,
+    /// Whether the server may take requests.
     pub server_ready: bool,
 }
 
-/// Where and when an attempt that may have run was sent.
+/// When and where an attempt was sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SentAttempt {
+    /// In seconds.
     pub at: f64,
+    /// Index of the server's zone.
     pub zone: usize,
+    /// The server's cell.
     pub cell: u64,
 }
 
-/// What is known before a further attempt. Times are seconds.
+/// The facts before an attempt.
 pub struct RepeatFacts {
+    /// What executing the request twice does.
     pub effect: Effect,
-    /// How long a repeat is recognised.
+    /// How long servers recognise a repeat, in seconds.
     pub repeat_window: f64,
-    /// Attempts that are out, and whether two may be.
+    /// How many attempts are open.
     pub attempts_out: usize,
+    /// Whether two attempts may be open at the same time.
     pub two_at_once: bool,
-    /// The first attempt that may have run.
+    /// The first attempt that may have been executed.
     pub may_have_run: Option<SentAttempt>,
-    /// Where the further one would go.
+    /// When and where the attempt would be sent.
     pub target: SentAttempt,
 }
 
-/// What a connection's client is owed when it is closed.
+/// What a client must still be sent before its connection is closed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PendingReply {
     Nothing,
-    /// A request was read.
+    /// An answer: its request was read.
     Answer,
-    /// Its server still answers.
+    /// `MOVE`: its server is still responding.
     Move,
 }
 
-/// Counts the violations.
+/// Checks the invariants and counts violations.
 #[derive(Default)]
 pub struct Guard {
     counts: [u64; Violation::ALL.len()],
 }
 
 impl Guard {
-    /// How often each promise was about to be broken.
+    /// The number of violations of each kind.
     pub fn counts(&self) -> impl Iterator<Item = (Violation, u64)> + '_ {
         Violation::ALL.into_iter().map(|violation| (violation, self.counts[violation as usize]))
     }
 
+    /// The number of all violations.
     pub fn total(&self) -> u64 {
         self.counts.iter().sum()
     }
 
-    /// Counts a violation, tells it in the log and returns it.
-    pub fn record_violation(&mut self, violation: Violation, who: &dyn fmt::Display) -> Violation {
+    /// Counts and logs a violation and returns it. `subject` names the request in the log.
+    pub fn record_violation(&mut self, violation: Violation, subject: &dyn fmt::Display) -> Violation {
         self.counts[violation as usize] += 1;
-        error!("invariant violated: {violation}: {who}");
+        error!("invariant violated: {violation}: {subject}");
         violation
     }
 
-    fn check(&mut self, found: Option<Violation>, who: &dyn fmt::Display) -> Result<(), Violation> {
-        found.map_or(Ok(()), |violation| Err(self.record_violation(violation, who)))
+    fn check(&mut self, found: Option<Violation>, subject: &dyn fmt::Display) -> Result<(), Violation> {
+        found.map_or(Ok(()), |violation| Err(self.record_violation(violation, subject)))
     }
 
+    /// Checks whether a request may be sent.
+    ///
     /// # Errors
     ///
-    /// The promise that sending the request would break; it must not be sent.
-    pub fn may_send(&mut self, facts: &SendFacts, who: &dyn fmt::Display) -> Result<(), Violation> {
+    /// The invariant that sending it would violate; it must not be sent.
+    pub fn may_send(&mut self, facts: &SendFacts, subject: &dyn fmt::Display) -> Result<(), Violation> {
         let found = match facts {
             SendFacts { client_waiting: false, .. } => Some(Violation::SentWithoutClient),
             SendFacts { before_deadline: false, .. } => Some(Violation::SentAfterDeadline),
             SendFacts { server_ready: false, .. } => Some(Violation::SentToUnreadyServer),
             _ => None,
         };
-        self.check(found, who)
+        self.check(found, subject)
     }
 
+    /// Checks whether an attempt may be made, given the earlier ones.
+    ///
     /// # Errors
     ///
-    /// The promise that a further attempt would break; it must not be made.
-    pub fn may_repeat(&mut self, facts: &RepeatFacts, who: &dyn fmt::Display) -> Result<(), Violation> {
+    /// The invariant that it would violate; it must not be made.
+    pub fn may_repeat(&mut self, facts: &RepeatFacts, subject: &dyn fmt::Display) -> Result<(), Violation> {
         let overlaps = facts.attempts_out > 0 && !(facts.two_at_once && facts.effect == Effect::Repeatable);
-        let unsafely = facts.may_have_run.is_some_and(|ran| !facts.is_known_at(ran));
+        let unsafe_repeat = facts.may_have_run.is_some_and(|earlier| !facts.is_harmless_after(earlier));
         let found = match () {
             () if overlaps => Some(Violation::OverlappingAttempts),
-            () if unsafely => Some(Violation::UnsafeRepeat),
+            () if unsafe_repeat => Some(Violation::UnsafeRepeat),
             () => None,
         };
-        self.check(found, who)
+        self.check(found, subject)
     }
 
-    /// Counts a close that leaves something owed.
-    pub fn check_close(&mut self, owed: PendingReply, who: &dyn fmt::Display) {
-        match owed {
+    /// Counts the closing of a connection whose client must still be sent something.
+    pub fn check_close(&mut self, pending: PendingReply, subject: &dyn fmt::Display) {
+        match pending {
             PendingReply::Nothing => {}
-            PendingReply::Answer => _ = self.record_violation(Violation::ClosedUnanswered, who),
-            PendingReply::Move => _ = self.record_violation(Violation::CutWithoutMove, who),
+            PendingReply::Answer => _ = self.record_violation(Violation::ClosedUnanswered, subject),
+            PendingReply::Move => _ = self.record_violation(Violation::CutWithoutMove, subject),
         }
     }
 
+    /// Checks whether a server in slow start may be sent a request: `sent` is the number that this proxy has sent it within the
+    /// window, `max_requests` the number that all proxies together may send. One is always allowed.
+    ///
     /// # Errors
     ///
-    /// This proxy alone would send a server in slow start more in a window than all may.
+    /// The limit is reached; the request must not be sent.
     pub fn may_send_in_slow_start(
         &mut self,
         sent: usize,
-        most: f64,
-        who: &dyn fmt::Display,
+        max_requests: f64,
+        subject: &dyn fmt::Display,
     ) -> Result<(), Violation> {
-        let found = (sent as f64 >= most.max(1.0)).then_some(Violation::SlowStartExceeded);
-        self.check(found, who)
+        let found = (sent as f64 >= max_requests.max(1.0)).then_some(Violation::SlowStartExceeded);
+        self.check(found, subject)
     }
 }
 
 impl RepeatFacts {
-    /// Whether the server would know the request for a repeat of the one that was sent there before.
-    fn is_known_at(&self, ran: SentAttempt) -> bool {
+    /// Whether the attempt would do no harm after the earlier one: the request is repeatable, or the server would recognise
+    /// it as a repeat.
+    fn is_harmless_after(&self, earlier: SentAttempt) -> bool {
         match self.effect {
             Effect::Repeatable => true,
             Effect::OnceOnly => false,
             Effect::Referenced(group) => {
                 let in_group = match group {
                     Group::All => true,
-                    Group::Zone => ran.zone == self.target.zone,
-                    Group::Cell => ran.zone == self.target.zone && ran.cell == self.target.cell,
+                    Group::Zone => earlier.zone == self.target.zone,
+                    Group::Cell => earlier.zone == self.target.zone && earlier.cell == self.target.cell,
                 };
-                in_group && self.target.at - ran.at < self.repeat_window
+                in_group && self.target.at - earlier.at < self.repeat_window
             }
         }
     }
--- a/crates/dewhead-proxy/src/guard/cold_start.rs
+++ b/crates/dewhead-proxy/src/guard/cold_start.rs
@@ -1,65 +1,71 @@
-//! The rule about servers that have just started, as the operators state it: how many requests all proxies together may
-//! send to one in any window. Reckoned from the settings, the list and what this proxy's servers carry, and from nothing of
-//! the decisions that it checks.
+//! The operators' limit for servers that have just started: how many requests all proxies together may send to one in any
+//! window. It is calculated from the settings, the server list and what this proxy's servers carry, independently of the
+//! decisions that it checks.
 
 use dewhead_startup::SlowStartTerms;
 
-/// Under so many requests a window more is put down to chance: by roots of them, and a count on top.
-const FEW: f64 = 30.0;
-const CHANCE_OF_FEW: (f64, f64) = (3.0, 3.0);
-const CHANCE: (f64, f64) = (2.0, 2.0);
+/// Below this many requests in a window, the larger tolerance for random variation applies.
+const SMALL_COUNT: f64 = 30.0;
+/// Tolerance for random variation: a multiple of the square root of the expected number of requests, and a number of requests
+/// on top.
+const SMALL_COUNT_TOLERANCE: (f64, f64) = (3.0, 3.0);
+const TOLERANCE: (f64, f64) = (2.0, 2.0);
 
-/// The rule's limit at this deployment.
+/// The limit for this deployment.
 pub struct ColdStartLimit {
     terms: SlowStartTerms,
-    /// The most connections that a unit of weight has carried for this proxy, near or far.
+    /// The most connections of this proxy that a unit of ready weight has carried in any location.
     max_connections_per_weight: f64,
-    /// The most weight that was ready at a time.
+    /// The most weight that was ready at the same time, over all locations.
     max_ready_weight: f64,
 }
 
-/// What this proxy holds at a group of servers.
+/// What this proxy holds at the servers of one location.
 #[derive(Clone, Copy, Debug)]
 pub struct LocationLoad {
     pub connections: usize,
-    /// Of the servers that are ready.
+    /// The sum of the weights of its ready servers.
     pub ready_weight: f64,
 }
 
 impl ColdStartLimit {
+    /// The limit by these settings, before anything was observed.
     pub fn new(terms: SlowStartTerms) -> ColdStartLimit {
         ColdStartLimit { terms, max_connections_per_weight: 0.0, max_ready_weight: 0.0 }
     }
 
-    /// A window's length, in seconds.
+    /// The length of the window, in seconds.
     pub fn window(&self) -> f64 {
         self.terms.window
     }
 
-    /// Whether a server whose process is so many seconds old is still cold.
+    /// Whether a server whose process is `age` seconds old is still cold.
     pub fn is_cold(&self, age: f64) -> bool {
         age < self.terms.warm_after
     }
 
-    /// Takes in what each location's servers carry now.
+    /// Records what the servers of each location carry now.
     pub fn observe(&mut self, locations: &[LocationLoad]) {
-        let weight: f64 = locations.iter().map(|one| one.ready_weight).sum();
-        self.max_ready_weight = self.max_ready_weight.max(weight);
-        for one in locations.iter().filter(|one| one.ready_weight > 0.0) {
+        let ready_weight: f64 = locations.iter().map(|location| location.ready_weight).sum();
+        self.max_ready_weight = self.max_ready_weight.max(ready_weight);
+        for location in locations.iter().filter(|location| location.ready_weight > 0.0) {
             self.max_connections_per_weight =
-                self.max_connections_per_weight.max(one.connections as f64 / one.ready_weight);
+                self.max_connections_per_weight.max(location.connections as f64 / location.ready_weight);
         }
     }
 
-    /// The most requests that all proxies may send in a window to a server of this weight and age.
+    /// The most requests that all proxies together may send within a window to a server of this weight and age, in seconds.
     pub fn max_requests(&self, weight: f64, age: f64) -> f64 {
         let terms = &self.terms;
-        let present = terms.cold_share + (1.0 - terms.cold_share) * (age / terms.warm_after).clamp(0.0, 1.0);
-        let agreed = if self.max_ready_weight > 0.0 { terms.agreed / self.max_ready_weight } else { 0.0 };
-        // What fills a server of this size when it is warm: as much as others of its size carry.
-        let fills = weight * agreed.max(self.max_connections_per_weight * terms.proxies);
-        let allowed = terms.multiple * terms.window * present * fills / terms.warm_after;
-        let (roots, more) = if allowed < FEW { CHANCE_OF_FEW } else { CHANCE };
-        allowed + roots * allowed.sqrt() + more
+        let capacity_share =
+            terms.cold_share + (1.0 - terms.cold_share) * (age / terms.warm_after).clamp(0.0, 1.0);
+        let agreed_per_weight =
+            if self.max_ready_weight > 0.0 { terms.agreed / self.max_ready_weight } else { 0.0 };
+        // The connections that fill a warm server of this size, taken as what others of its size carry.
+        let full_connections =
+            weight * agreed_per_weight.max(self.max_connections_per_weight * terms.proxies);
+        let allowed = terms.multiple * terms.window * capacity_share * full_connections / terms.warm_after;
+        let (root_multiple, margin) = if allowed < SMALL_COUNT { SMALL_COUNT_TOLERANCE } else { TOLERANCE };
+        allowed + root_multiple * allowed.sqrt() + margin
     }
 }
--- a/crates/dewhead-proxy/src/lib.rs
+++ b/crates/dewhead-proxy/src/lib.rs
@@ -1,5 +1,6 @@
-//! The dewhead proxy. `lifecycle` starts and stops it, `turn` moves bytes between sockets, `wire` knows what is
-//! spoken, `control` answers operators, and every change of what `memory` keeps goes through `reducer`.
+//! The dewhead proxy. `lifecycle` starts and stops the process, `turn` is the event loop that moves bytes between sockets,
+//! `wire` parses and writes the protocols, `control` serves the control socket, `guard` checks invariants at run time, and
+//! `reducer` makes every change to what `state` holds.
 
 pub mod clock;
 pub mod control;
--- a/crates/dewhead-proxy/src/transient.rs
+++ b/crates/dewhead-proxy/src/transient.rs
@@ -1,14 +1,14 @@
-//! Errors of system calls that pass by themselves: the machine is short of something, or a signal came.
+//! Transient errors of system calls: the machine is short of a resource, or a signal interrupted the call.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
 
-/// At the start a call that fails for a moment is made again after this, so many times.
-const PAUSE: Duration = Duration::from_millis(20);
-const TRIES: u32 = 50;
+/// How long `retry_transient` waits between attempts, and how many it makes.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const MAX_ATTEMPTS: u32 = 50;
 
-/// Whether the error tells of this machine's want of something, not of what the call was about.
+/// Whether the error means that this machine is short of a resource, and says nothing about the object of the call.
 pub fn is_transient(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(
@@ -25,21 +25,23 @@
     )
 }
 
-/// Whether a file or an address may be had a moment later: another process is about to leave it, or a disk failed once.
-fn may_pass(error: &io::Error) -> bool {
+/// Whether a file or an address may become available shortly: another process is about to release it, or a disk error occurred
+/// once.
+fn is_retryable(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     is_transient(error) || matches!(errno, Some(Errno::IO | Errno::ADDRINUSE))
 }
 
-/// Makes a call that the process can't start without, for up to a second while it fails in a way that may pass. Blocks.
+/// Makes a call that the process can't start without, and retries it for up to a second while its error may be temporary.
+/// Blocks.
 ///
 /// # Errors
 ///
-/// The call's last one.
+/// That of the last attempt.
 pub fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 1..TRIES {
+    for _ in 1..MAX_ATTEMPTS {
         match call() {
-            Err(error) if may_pass(&error) => std::thread::sleep(PAUSE),
+            Err(error) if is_retryable(&error) => std::thread::sleep(RETRY_PAUSE),
             other => return other,
         }
     }
--- a/crates/dewhead-proxy/src/wire/server_list.rs
+++ b/crates/dewhead-proxy/src/wire/server_list.rs
@@ -1,4 +1,4 @@
-//! The list of servers as discovery writes it.
+//! Parsing of the server list that discovery writes.
 
 use dewhead::terms::{Listed, State};
 use dewhead_startup::fields::{array, field, maybe, number, place_in, text, truth, whole, wrong, Outcome};
@@ -7,18 +7,19 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The module's number for a server, made of its host name alone: the same at every proxy and after every restart,
-/// since the module ranks servers by it. Of 32 bits, two of 7,400 servers shared one with a chance of 0.6%, and a drain of
-/// the one was a drain of the other at every proxy at once; of 64, with one of 10^-12.
+/// The id of a server: a 64-bit FNV-1a hash of its host name alone. It is the same at every proxy and after every restart, since
+/// the balancer ranks servers by it. With 32 bits, two of 7,400 servers would share an id with a probability of 0.6%, and a
+/// drain of one of them would drain the other at every proxy at once; with 64 bits the probability is 10^-12.
 pub fn server_id(host: &str) -> u64 {
-    host.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |sum, b| (sum ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3))
+    host.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
+    })
 }
 
-/// An entry, with where to reach the server.
+/// An entry of the list, and the address to reach its server at.
 pub type Entry = (Listed, Option<SocketAddr>);
 
-/// One version of the list, as it was written.
+/// One version of the list, with its entries still as text.
 #[derive(Deserialize)]
 struct RawVersion<'a> {
     seq: Option<Value>,
@@ -27,75 +28,90 @@
     hosts: Option<Vec<&'a RawValue>>,
 }
 
-/// One version of the list, read: its number, whether it is whole, its entries, and each one's host and text.
+/// One parsed version of the list.
 pub struct ListVersion {
     pub number: u64,
+    /// Whether it is the full list, not a change.
     pub whole: bool,
     pub entries: Vec<Entry>,
+    /// The host name and the text of each entry, in the same order.
     pub raw_entries: Vec<(String, Box<str>)>,
 }
 
 impl ListVersion {
+    /// `header` holds the number and whether it is the full list; `hosts` holds the entries, each parsed and as text.
     fn assemble<'a>(
-        told: &Value,
+        header: &Value,
         hosts: impl Iterator<Item = (Outcome<Value>, &'a str)>,
         zones: &[String],
     ) -> Outcome<ListVersion> {
         let mut version =
             ListVersion { number: 0, whole: false, entries: Vec::new(), raw_entries: Vec::new() };
-        for (one, written) in hosts {
-            let one = one?;
-            version.entries.push(entry(&one, zones)?);
-            version.raw_entries.push((text(&one, "host")?.to_owned(), written.into()));
+        for (host, raw) in hosts {
+            let host = host?;
+            version.entries.push(parse_entry(&host, zones)?);
+            version.raw_entries.push((text(&host, "host")?.to_owned(), raw.into()));
         }
-        (version.number, version.whole) = (whole(told, "seq")?, truth(told, "whole")?);
+        (version.number, version.whole) = (whole(header, "seq")?, truth(header, "whole")?);
         Ok(version)
     }
 
-    /// Reads a line of the watch, an entry at a time: the whole list as one tree took ten times the line. `None` where it
-    /// is no JSON of that form at all.
+    /// Parses a line of the watch, entry by entry: the full list as one JSON tree took ten times the memory of the line. `None`
+    /// where the line is not JSON of this form at all.
+    ///
+    /// # Errors
+    ///
+    /// The field that is missing or invalid.
     pub fn parse(line: &[u8], zones: &[String]) -> Option<Outcome<ListVersion>> {
-        let told: RawVersion = serde_json::from_slice(line).ok()?;
-        let top = serde_json::json!({"seq": told.seq, "whole": told.whole});
-        let Some(hosts) = told.hosts else { return Some(Err("field 'hosts' is missing".into())) };
-        let one = |raw: &&'_ RawValue| serde_json::from_str(raw.get()).map_err(|e| e.to_string());
-        Some(ListVersion::assemble(&top, hosts.iter().map(|raw| (one(raw), raw.get())), zones))
+        let version: RawVersion = serde_json::from_slice(line).ok()?;
+        let header = serde_json::json!({"seq": version.seq, "whole": version.whole});
+        let Some(hosts) = version.hosts else { return Some(Err("field 'hosts' is missing".into())) };
+        let parse = |raw: &&'_ RawValue| serde_json::from_str(raw.get()).map_err(|e| e.to_string());
+        Some(ListVersion::assemble(&header, hosts.iter().map(|raw| (parse(raw), raw.get())), zones))
     }
 
-    /// The same, from a list that was read already.
-    pub fn from_json(told: &Value, zones: &[String]) -> Outcome<ListVersion> {
-        let hosts = array(told, "hosts")?;
+    /// The same for a list that is JSON already.
+    ///
+    /// # Errors
+    ///
+    /// The field that is missing or invalid.
+    pub fn from_json(list: &Value, zones: &[String]) -> Outcome<ListVersion> {
+        let hosts = array(list, "hosts")?;
         let texts: Vec<String> = hosts.iter().map(Value::to_string).collect();
-        let both = hosts.iter().cloned().map(Ok).zip(texts.iter().map(String::as_str));
-        ListVersion::assemble(told, both, zones)
+        let parsed_and_raw = hosts.iter().cloned().map(Ok).zip(texts.iter().map(String::as_str));
+        ListVersion::assemble(list, parsed_and_raw, zones)
     }
 }
 
-/// One version of the list: its number, whether it is whole, and its entries.
-pub fn parse_list(told: &Value, zones: &[String]) -> Outcome<(u64, bool, Vec<Entry>)> {
-    ListVersion::from_json(told, zones).map(|v| (v.number, v.whole, v.entries))
+/// Parses one version of the list: its number, whether it is the full list, and its entries.
+///
+/// # Errors
+///
+/// The field that is missing or invalid.
+pub fn parse_list(list: &Value, zones: &[String]) -> Outcome<(u64, bool, Vec<Entry>)> {
+    ListVersion::from_json(list, zones).map(|v| (v.number, v.whole, v.entries))
 }
 
-fn entry(one: &Value, zones: &[String]) -> Outcome<Entry> {
-    let state = match text(one, "health")? {
+fn parse_entry(host: &Value, zones: &[String]) -> Outcome<Entry> {
+    let state = match text(host, "health")? {
         "ready" => State::Ready,
         "draining" => State::Draining,
         "gone" => State::Gone,
         other => return Err(format!("field 'health' names unknown '{other}'")),
     };
     let dial =
-        maybe(one, "dial", text)?.map(|d| d.parse().map_err(|_| wrong("dial", "an address with a port")));
+        maybe(host, "dial", text)?.map(|d| d.parse().map_err(|_| wrong("dial", "an address with a port")));
     let dial = dial.transpose()?;
     if dial.is_none() && state != State::Gone {
-        field(one, "dial")?;
+        field(host, "dial")?;
     }
     let listed = Listed {
-        id: server_id(text(one, "host")?),
-        zone: place_in(one, "site", zones)?,
-        cell: maybe(one, "block", whole)?.unwrap_or(0),
+        id: server_id(text(host, "host")?),
+        zone: place_in(host, "site", zones)?,
+        cell: maybe(host, "block", whole)?.unwrap_or(0),
         state,
-        weight: maybe(one, "share", number)?.unwrap_or(1.0),
-        started: maybe(one, "born_ms", number)?.filter(|ms| *ms > 0.0).map(|ms| ms / 1000.0),
+        weight: maybe(host, "share", number)?.unwrap_or(1.0),
+        started: maybe(host, "born_ms", number)?.filter(|ms| *ms > 0.0).map(|ms| ms / 1000.0),
     };
     Ok((listed, dial))
 }
