--- a/crates/dewhead-lab/src/plain.rs
+++ b/crates/dewhead-lab/src/plain.rs
@@ -10,7 +10,7 @@
 use dewhead_proxy::wire::http::WatchResponse;
 use dewhead_proxy::wire::lines::{first_line_end, trim_line_end, LineScanner};
 use dewhead_proxy::wire::server_list::{parse_list, server_id};
-use dewhead_startup::{Known, Startup};
+use dewhead_startup::{KnownNames, Startup};
 use dewhead_world::experiment::Experiment;
 use oorandom::Rand64;
 use serde_json::Value;
@@ -146,7 +146,7 @@
     truths: Truths,
     chance: Rand64,
     traffic: Vec<TrafficType>,
-    known: Known,
+    known: KnownNames,
     groups: bool,
     most_legs: u32,
     stay_away: f64,
@@ -196,8 +196,8 @@
         truths: Truths,
     ) -> Plain {
         let (connect_limit, longest_guard, groups) =
-            (startup.connect_limit, startup.longest_guard, startup.groups);
-        let (traffic, known) = startup.traffic_and_names();
+            (startup.connect_timeout, startup.longest_guard_time, startup.groups);
+        let (traffic, known) = startup.into_traffic_types_and_names();
         let mut plain = Plain {
             policy,
             fault,
--- a/crates/dewhead-lab/src/scale/hollow.rs
+++ b/crates/dewhead-lab/src/scale/hollow.rs
@@ -222,7 +222,7 @@
         let now = self.clock.now();
         let position = self.spec.first + at;
         self.settings["position"] = position.into();
-        let startup = Startup::read(&self.settings)?;
+        let startup = Startup::parse(&self.settings)?;
         self.serial += 1;
         let seed = u128::from(self.serial) << 32 | position as u128;
         let most = 2 * self.spec.standing + 256;
--- a/crates/dewhead-lab/src/simulated.rs
+++ b/crates/dewhead-lab/src/simulated.rs
@@ -330,7 +330,7 @@
     fn begin(&mut self, p: usize, known: &Value, handed: Option<&handover_state::HandoverState>) {
         let clock = self.clock();
         let (of, seed) = (&self.world.of, u128::from(self.world.proxy_seed(p)));
-        let startup = Startup::read(&settings(of, p)).expect("the settings are the world's own");
+        let startup = Startup::parse(&settings(of, p)).expect("the settings are the world's own");
         let discovery = agent_address(self.world.discovery_address(p));
         let plain = |policy, fault, startup| {
             let truths = self.truths.clone();
--- a/crates/dewhead-lab/tests/scale.rs
+++ b/crates/dewhead-lab/tests/scale.rs
@@ -61,7 +61,7 @@
     fn new(proxies: usize, servers: usize, fault: Fault) -> Fleet {
         let at = SocketAddr::from(([127, 0, 0, 1], 8500));
         let made = (0..proxies).map(|n| {
-            let startup = Startup::read(&told(n, proxies).unwrap()).unwrap();
+            let startup = Startup::parse(&told(n, proxies).unwrap()).unwrap();
             Reducer::new(1000.0, startup, n as u128, at, 256, &Value::Null)
         });
         let named = (0..servers).map(|n| (format!("s-{n:08x}"), "ready", 1));
--- a/crates/dewhead-proxy/src/guard/cold_start.rs
+++ b/crates/dewhead-proxy/src/guard/cold_start.rs
@@ -2,7 +2,7 @@
 //! window. It is calculated from the settings, the server list and what this proxy's servers carry, independently of the
 //! decisions that it checks.
 
-use dewhead_startup::SlowStartTerms;
+use dewhead_startup::SlowStartSettings;
 
 /// Below this many requests in a window, the larger tolerance for random variation applies.
 const SMALL_COUNT: f64 = 30.0;
@@ -13,7 +13,7 @@
 
 /// The limit for this deployment.
 pub struct ColdStartLimit {
-    terms: SlowStartTerms,
+    terms: SlowStartSettings,
     /// The most connections of this proxy that a unit of ready weight has carried in any location.
     max_connections_per_weight: f64,
     /// The most weight that was ready at the same time, over all locations.
@@ -30,7 +30,7 @@
 
 impl ColdStartLimit {
     /// The limit by these settings, before anything was observed.
-    pub fn new(terms: SlowStartTerms) -> ColdStartLimit {
+    pub fn new(terms: SlowStartSettings) -> ColdStartLimit {
         ColdStartLimit { terms, max_connections_per_weight: 0.0, max_ready_weight: 0.0 }
     }
 
@@ -60,11 +60,12 @@
         let capacity_share =
             terms.cold_share + (1.0 - terms.cold_share) * (age / terms.warm_after).clamp(0.0, 1.0);
         let agreed_per_weight =
-            if self.max_ready_weight > 0.0 { terms.agreed / self.max_ready_weight } else { 0.0 };
+            if self.max_ready_weight > 0.0 { terms.agreed_connections / self.max_ready_weight } else { 0.0 };
         // The connections that fill a warm server of this size, taken as what others of its size carry.
         let full_connections =
             weight * agreed_per_weight.max(self.max_connections_per_weight * terms.proxies);
-        let allowed = terms.multiple * terms.window * capacity_share * full_connections / terms.warm_after;
+        let allowed =
+            terms.max_capacity_multiple * terms.window * capacity_share * full_connections / terms.warm_after;
         let (root_multiple, margin) = if allowed < SMALL_COUNT { SMALL_COUNT_TOLERANCE } else { TOLERANCE };
         allowed + root_multiple * allowed.sqrt() + margin
     }
--- a/crates/dewhead-proxy/src/lifecycle/configuration.rs
+++ b/crates/dewhead-proxy/src/lifecycle/configuration.rs
@@ -2,8 +2,8 @@
 
 use crate::transient::retry_transient;
 use crate::wire::server_list::parse_list;
-use dewhead_startup::fields::{field, maybe, text, whole, wrong, Outcome};
-use dewhead_startup::{shape, Startup};
+use dewhead_startup::fields::{field, integer, invalid, optional, text, ParseResult};
+use dewhead_startup::{validation, Startup};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
@@ -81,8 +81,8 @@
         Configuration::read(&value).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    pub fn read(told: &Value) -> Outcome<Configuration> {
-        let settings = |of| shape::check(of).and_then(|remarks| Ok((Startup::read(of)?, remarks)));
+    pub fn read(told: &Value) -> ParseResult<Configuration> {
+        let settings = |of| validation::validate(of).and_then(|remarks| Ok((Startup::parse(of)?, remarks)));
         let (startup, remarks) = field(told, "settings").and_then(settings).map_err(|e| {
             if told["settings"].is_null() {
                 e
@@ -91,10 +91,10 @@
             }
         })?;
         let (mut descriptors, mut memory) = (DESCRIPTORS, None);
-        if let Some(limits) = maybe(told, "limits", field)? {
+        if let Some(limits) = optional(told, "limits", field)? {
             let within = |e| format!("limits: {e}");
-            descriptors = maybe(limits, "sockets", whole).map_err(within)?.unwrap_or(DESCRIPTORS);
-            memory = maybe(limits, "memory_mb", whole).map_err(within)?;
+            descriptors = optional(limits, "sockets", integer).map_err(within)?.unwrap_or(DESCRIPTORS);
+            memory = optional(limits, "memory_mb", integer).map_err(within)?;
         }
         if let Some(memory) = memory {
             let ends = memory.saturating_mul(1 << 20).saturating_sub(MEMORY_KEPT) / MEMORY_AN_END;
@@ -106,13 +106,13 @@
             );
         }
         let seed = text(told, "seed")?;
-        let seed = u64::from_str_radix(seed, 16).map_err(|_| wrong("seed", "hex digits"))?;
+        let seed = u64::from_str_radix(seed, 16).map_err(|_| invalid("seed", "hex digits"))?;
         let remembered = told.get("known").cloned().unwrap_or_default();
         if !remembered.is_null() {
-            parse_list(&remembered, &startup.known.zones).map_err(|e| format!("known: {e}"))?;
+            parse_list(&remembered, &startup.names.zones).map_err(|e| format!("known: {e}"))?;
         }
         Ok(Configuration {
-            name: maybe(told, "name", text)?.unwrap_or("dewhead").to_owned(),
+            name: optional(told, "name", text)?.unwrap_or("dewhead").to_owned(),
             listen: address(told, "listen")?,
             discovery: address(told, "discovery")?,
             seed: u128::from(seed),
@@ -120,12 +120,12 @@
             remembered,
             startup,
             remarks,
-            control: maybe(told, "control", text)?.map(PathBuf::from),
+            control: optional(told, "control", text)?.map(PathBuf::from),
             fixed: Fixed::of(told),
         })
     }
 }
 
-fn address(told: &Value, name: &str) -> Outcome<SocketAddr> {
-    text(told, name)?.parse().map_err(|_| wrong(name, "an address with a port"))
+fn address(told: &Value, name: &str) -> ParseResult<SocketAddr> {
+    text(told, name)?.parse().map_err(|_| invalid(name, "an address with a port"))
 }
--- a/crates/dewhead-proxy/src/lifecycle/mod.rs
+++ b/crates/dewhead-proxy/src/lifecycle/mod.rs
@@ -65,7 +65,7 @@
     }
     let newest = handed.as_ref().map_or(&remembered, |h| &h.list);
     // What another build has written is bad input like any other.
-    let newest = if parse_list(newest, &startup.known.zones).is_ok() { newest } else { &remembered };
+    let newest = if parse_list(newest, &startup.names.zones).is_ok() { newest } else { &remembered };
     let mut reducer = Reducer::new(clock.now(), startup, seed, discovery, descriptors, newest);
     if let Some(handed) = &handed {
         reducer.take_up(clock.now(), handed);
--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -23,7 +23,7 @@
 use crate::wire::server_list::ListVersion;
 use dewhead::state::Balancer;
 use dewhead::terms::{Ending, TrafficType};
-use dewhead_startup::{Known, Startup};
+use dewhead_startup::{KnownNames, Startup};
 use door::{Asked, Door};
 use log::{debug, info, warn};
 use oorandom::Rand64;
@@ -157,7 +157,7 @@
 pub struct Reducer {
     balancer: Rc<Balancer>,
     door: Rc<Door>,
-    known: Known,
+    known: KnownNames,
     groups: bool,
     connect_limit: f64,
     longest_guard: f64,
@@ -214,14 +214,14 @@
         remembered: &Value,
     ) -> Reducer {
         let door = Rc::new(Door::default());
-        let (groups, must_ask) = (startup.groups, startup.must_ask);
-        let (connect_limit, longest_guard) = (startup.connect_limit, startup.longest_guard);
-        let slow_from = startup.shortest_message / 3.0;
+        let (groups, must_ask) = (startup.groups, startup.must_subscribe);
+        let (connect_limit, longest_guard) = (startup.connect_timeout, startup.longest_guard_time);
+        let slow_from = startup.shortest_message_target / 3.0;
         let slow_unit = longest_guard / 30.0;
-        let kinds = TypeMeans::new(startup.known.traffic.len());
-        let (traffic, two_at_once) = (startup.traffic().to_vec(), startup.two_at_once());
+        let kinds = TypeMeans::new(startup.names.traffic_types.len());
+        let (traffic, two_at_once) = (startup.traffic_types().to_vec(), startup.two_at_once());
         let slow_start = startup.slow_start();
-        let (balancer, known) = startup.balancer(seed, door.clone());
+        let (balancer, known) = startup.into_balancer(seed, door.clone());
         let mut reducer = Reducer {
             balancer,
             door,
--- a/crates/dewhead-proxy/src/reducer/status.rs
+++ b/crates/dewhead-proxy/src/reducer/status.rs
@@ -87,7 +87,7 @@
         let one = |(key, session): (usize, &crate::state::sessions::Session)| {
             let server = session.legs.first().and_then(|(_, leg)| self.legs.get(*leg)).map(|leg| leg.server);
             json!({"slot": key, "stage": name(session.stage), "server": server, "legs": session.legs_sent,
-                   "traffic": self.known.traffic.get(session.traffic)})
+                   "traffic": self.known.traffic_types.get(session.traffic)})
         };
         let told: Vec<Value> = self.sessions.iter().take(TOLD).map(one).collect();
         json!({"sessions": self.sessions.len(), "told": told.len(), "connections": told})
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -7,7 +7,7 @@
 use crate::wire::http::{WatchResponse, LINE_TOO_LONG, STATUS_NOT_OK};
 use crate::wire::server_list::ListVersion;
 use dewhead::terms::{Ending, News, State};
-use dewhead_startup::fields::Outcome;
+use dewhead_startup::fields::ParseResult;
 use log::{debug, warn};
 use std::net::SocketAddr;
 
@@ -134,7 +134,7 @@
     }
 
     /// A version of the list; false where it was not understood, and the list held stays.
-    pub(super) fn list(&mut self, now: f64, told: Outcome<ListVersion>, remembered: bool) -> bool {
+    pub(super) fn list(&mut self, now: f64, told: ParseResult<ListVersion>, remembered: bool) -> bool {
         let mut told = match told {
             Ok(list) => list,
             Err(fault) => {
--- a/crates/dewhead-proxy/src/wire/first_line.rs
+++ b/crates/dewhead-proxy/src/wire/first_line.rs
@@ -1,7 +1,7 @@
 //! The first line of a client's connection: a request to open a connection, or a health check.
 
 use dewhead::terms::Wanted;
-use dewhead_startup::Known;
+use dewhead_startup::KnownNames;
 use std::ops::Range;
 
 /// The parameter names that are checked.
@@ -36,7 +36,7 @@
     line: &[u8],
     now: f64,
     default_wait: f64,
-    known: &Known,
+    known: &KnownNames,
     accept_groups: bool,
 ) -> Result<FirstLine, &'static str> {
     // The line is forwarded unchanged, so anything that a server might not read as one line of text is refused here.
@@ -73,8 +73,10 @@
             }
         }
         match name {
-            "c" => wanted.traffic = index_of(value, &known.traffic).ok_or("the traffic type is unknown")?,
-            "t" => wanted.shop = Some(index_of(value, &known.shops).ok_or("the tenant is unknown")?),
+            "c" => {
+                wanted.traffic = index_of(value, &known.traffic_types).ok_or("the traffic type is unknown")?
+            }
+            "t" => wanted.shop = Some(index_of(value, &known.tenants).ok_or("the tenant is unknown")?),
             "d" => {
                 let wait_ms = decimal(value).filter(|ms| *ms > 0.0 && *ms <= f64::from(u32::MAX));
                 wanted.until = now + wait_ms.ok_or("the waiting time is not a positive number")? / 1000.0;
--- a/crates/dewhead-proxy/src/wire/server_list.rs
+++ b/crates/dewhead-proxy/src/wire/server_list.rs
@@ -1,7 +1,9 @@
 //! Parsing of the server list that discovery writes.
 
 use dewhead::terms::{Listed, State};
-use dewhead_startup::fields::{array, field, maybe, number, place_in, text, truth, whole, wrong, Outcome};
+use dewhead_startup::fields::{
+    array, boolean, field, index_in, integer, invalid, number, optional, text, ParseResult,
+};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::Value;
@@ -42,9 +44,9 @@
     /// `header` holds the number and whether it is the full list; `hosts` holds the entries, each parsed and as text.
     fn assemble<'a>(
         header: &Value,
-        hosts: impl Iterator<Item = (Outcome<Value>, &'a str)>,
+        hosts: impl Iterator<Item = (ParseResult<Value>, &'a str)>,
         zones: &[String],
-    ) -> Outcome<ListVersion> {
+    ) -> ParseResult<ListVersion> {
         let mut version =
             ListVersion { number: 0, whole: false, entries: Vec::new(), raw_entries: Vec::new() };
         for (host, raw) in hosts {
@@ -52,7 +54,7 @@
             version.entries.push(parse_entry(&host, zones)?);
             version.raw_entries.push((text(&host, "host")?.to_owned(), raw.into()));
         }
-        (version.number, version.whole) = (whole(header, "seq")?, truth(header, "whole")?);
+        (version.number, version.whole) = (integer(header, "seq")?, boolean(header, "whole")?);
         Ok(version)
     }
 
@@ -62,7 +64,7 @@
     /// # Errors
     ///
     /// The field that is missing or invalid.
-    pub fn parse(line: &[u8], zones: &[String]) -> Option<Outcome<ListVersion>> {
+    pub fn parse(line: &[u8], zones: &[String]) -> Option<ParseResult<ListVersion>> {
         let version: RawVersion = serde_json::from_slice(line).ok()?;
         let header = serde_json::json!({"seq": version.seq, "whole": version.whole});
         let Some(hosts) = version.hosts else { return Some(Err("field 'hosts' is missing".into())) };
@@ -75,7 +77,7 @@
     /// # Errors
     ///
     /// The field that is missing or invalid.
-    pub fn from_json(list: &Value, zones: &[String]) -> Outcome<ListVersion> {
+    pub fn from_json(list: &Value, zones: &[String]) -> ParseResult<ListVersion> {
         let hosts = array(list, "hosts")?;
         let texts: Vec<String> = hosts.iter().map(Value::to_string).collect();
         let parsed_and_raw = hosts.iter().cloned().map(Ok).zip(texts.iter().map(String::as_str));
@@ -88,30 +90,30 @@
 /// # Errors
 ///
 /// The field that is missing or invalid.
-pub fn parse_list(list: &Value, zones: &[String]) -> Outcome<(u64, bool, Vec<Entry>)> {
+pub fn parse_list(list: &Value, zones: &[String]) -> ParseResult<(u64, bool, Vec<Entry>)> {
     ListVersion::from_json(list, zones).map(|v| (v.number, v.whole, v.entries))
 }
 
-fn parse_entry(host: &Value, zones: &[String]) -> Outcome<Entry> {
+fn parse_entry(host: &Value, zones: &[String]) -> ParseResult<Entry> {
     let state = match text(host, "health")? {
         "ready" => State::Ready,
         "draining" => State::Draining,
         "gone" => State::Gone,
         other => return Err(format!("field 'health' names unknown '{other}'")),
     };
-    let dial =
-        maybe(host, "dial", text)?.map(|d| d.parse().map_err(|_| wrong("dial", "an address with a port")));
+    let dial = optional(host, "dial", text)?
+        .map(|d| d.parse().map_err(|_| invalid("dial", "an address with a port")));
     let dial = dial.transpose()?;
     if dial.is_none() && state != State::Gone {
         field(host, "dial")?;
     }
     let listed = Listed {
         id: server_id(text(host, "host")?),
-        zone: place_in(host, "site", zones)?,
-        cell: maybe(host, "block", whole)?.unwrap_or(0),
+        zone: index_in(host, "site", zones)?,
+        cell: optional(host, "block", integer)?.unwrap_or(0),
         state,
-        weight: maybe(host, "share", number)?.unwrap_or(1.0),
-        started: maybe(host, "born_ms", number)?.filter(|ms| *ms > 0.0).map(|ms| ms / 1000.0),
+        weight: optional(host, "share", number)?.unwrap_or(1.0),
+        started: optional(host, "born_ms", number)?.filter(|ms| *ms > 0.0).map(|ms| ms / 1000.0),
     };
     Ok((listed, dial))
 }
--- a/crates/dewhead-proxy/tests/common/mod.rs
+++ b/crates/dewhead-proxy/tests/common/mod.rs
@@ -98,7 +98,7 @@
 
     /// In its first moment.
     pub fn unheard(seed: u128, settings: &Value, descriptors: usize, known: Value) -> Stand {
-        let startup = Startup::read(settings).expect("the settings are sound");
+        let startup = Startup::parse(settings).expect("the settings are sound");
         let began = 999.5;
         let mut stand = Stand {
             reducer: Reducer::new(began, startup, seed, discovery(1), descriptors, &known),
--- a/crates/dewhead-proxy/tests/guard.rs
+++ b/crates/dewhead-proxy/tests/guard.rs
@@ -3,7 +3,7 @@
 use dewhead::terms::{Effect, Group};
 use dewhead_proxy::guard::cold_start::{ColdStartLimit, LocationLoad};
 use dewhead_proxy::guard::{Guard, PendingReply, RepeatFacts, SendFacts, SentAttempt, Violation};
-use dewhead_startup::SlowStartTerms;
+use dewhead_startup::SlowStartSettings;
 
 const SENT: SentAttempt = SentAttempt { at: 100.0, zone: 1, cell: 4 };
 const SOUND: SendFacts = SendFacts { client_waiting: true, before_deadline: true, server_ready: true };
@@ -96,13 +96,13 @@
 /// list and what is carried; a budget of the decisions that is set too high does not raise it, and is refused beyond it.
 #[test]
 fn the_limit_of_a_cold_server_is_reckoned_apart_from_the_decisions() {
-    let terms = SlowStartTerms {
+    let terms = SlowStartSettings {
         cold_share: 0.2,
         warm_after: 10.0,
-        multiple: 2.5,
+        max_capacity_multiple: 2.5,
         window: 2.0,
         proxies: 30.0,
-        agreed: 2000.0,
+        agreed_connections: 2000.0,
         weights_are_sizes: true,
     };
     let mut limit = ColdStartLimit::new(terms);
--- a/crates/dewhead-proxy/tests/sockets.rs
+++ b/crates/dewhead-proxy/tests/sockets.rs
@@ -62,7 +62,7 @@
     let (theirs, stop) = UnixStream::pair().unwrap();
     let running = thread::spawn(move || {
         let clock = Clock::start();
-        let startup = Startup::read(&settings).unwrap();
+        let startup = Startup::parse(&settings).unwrap();
         let reducer = Reducer::new(clock.now(), startup, 3, discovery, 256, &Value::Null);
         let (_, never) = UnixStream::pair().unwrap();
         Turn::new(clock, reducer, ours, theirs, (never, Box::new(|_| None))).unwrap().run().unwrap();
--- a/crates/dewhead-proxy/tests/wire.rs
+++ b/crates/dewhead-proxy/tests/wire.rs
@@ -56,10 +56,10 @@
 /// On the first day a guess was taken for milliseconds, and each call weighed a thousand times its load.
 #[test]
 fn a_guess_at_the_load_and_the_load_told_are_of_one_unit() {
-    let startup = Startup::read(&common::settings()).unwrap();
+    let startup = Startup::parse(&common::settings()).unwrap();
     let line =
         b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=order,t=shop-b,d=2000,g=0000000000000001,h=19461.105\r\n";
-    match parse_first_line(line, 10.0, 3.0, &startup.known, true) {
+    match parse_first_line(line, 10.0, 3.0, &startup.names, true) {
         Ok(FirstLine::Open { id, wanted, wait_range, server_range }) => {
             assert_eq!(parse_server_message(b"LOAD 19461.105"), ServerMessage::Load(wanted.hint.unwrap()));
             assert_eq!(
@@ -76,10 +76,10 @@
 /// Such a line would go on to a server as it is, or let a call wait without a bound.
 #[test]
 fn a_field_that_is_known_is_checked_and_others_pass() {
-    let startup = Startup::read(&common::settings()).unwrap();
+    let startup = Startup::parse(&common::settings()).unwrap();
     let (id, key) = ("9b1f03aa5c7e2d41", "7f3a9c21e0b4d655");
     let understood = |line: String| {
-        let read = parse_first_line(line.as_bytes(), 0.0, 3.0, &startup.known, false);
+        let read = parse_first_line(line.as_bytes(), 0.0, 3.0, &startup.names, false);
         matches!(read, Ok(FirstLine::Open { .. }))
     };
     let full = "c=feed,t=shop-a,d=1500,g=5c0f6e1a2b3d4c59,h=12.5,r=1,again=1,zz=\u{e9},x=";
@@ -131,13 +131,13 @@
 #[test]
 fn no_bytes_make_the_readers_panic() {
     fn any(bytes: Vec<u8>, cut: usize) -> bool {
-        let startup = Startup::read(&common::settings()).unwrap();
+        let startup = Startup::parse(&common::settings()).unwrap();
         let mut with_head = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,d=".to_vec();
         with_head.extend_from_slice(&bytes);
         with_head.extend_from_slice(b",d=5\r\n");
         for line in [&bytes, &with_head] {
             if let Ok(FirstLine::Open { wait_range, server_range, .. }) =
-                parse_first_line(line, 0.0, 1.0, &startup.known, true)
+                parse_first_line(line, 0.0, 1.0, &startup.names, true)
             {
                 assert!(wait_range.end <= line.len() && server_range.is_none_or(|at| at.end <= line.len()));
             }
@@ -151,7 +151,7 @@
             let _ = answer.feed(&chunks[at..], |_| ());
         }
         if let Ok(told) = serde_json::from_slice(&bytes) {
-            let _ = parse_list(&told, &startup.known.zones);
+            let _ = parse_list(&told, &startup.names.zones);
         }
         true
     }
--- a/crates/dewhead-startup/src/shape.rs
+++ b/crates/dewhead-startup/src/validation.rs
@@ -2,13 +2,13 @@
 //! obeyed, and where that leaves something out, a remark says so. The simulator says what its days are, and is taken at
 //! its word; a configuration that a person writes is checked.
 
-use crate::fields::{array, field, maybe, names, number, text, truth, Outcome};
+use crate::fields::{array, boolean, field, number, optional, text, text_array, ParseResult};
 use serde_json::Value;
 
 /// An error names the key that can't be meant. What is obeyed otherwise than its words say comes back, a line each.
-pub fn check(told: &Value) -> Outcome<Vec<String>> {
+pub fn validate(told: &Value) -> ParseResult<Vec<String>> {
     let mut remarks = Vec::new();
-    let live = maybe(told, "weights", text)? == Some("live");
+    let live = optional(told, "weights", text)? == Some("live");
     if live && text(told, "membershipMode")? == "subscribe" {
         remarks.push(
             "field 'weights' is live beside 'membershipMode' subscribe: what they say of load is old".into(),
@@ -19,8 +19,8 @@
         "off" => {}
         // A proxy that did not start served nobody, and weights alone serve nearly as well.
         how @ ("on_probe" | "inline") => {
-            names(feedback, "fields")?;
-            maybe(field(told, "limits")?, "probes", truth)?;
+            text_array(feedback, "fields")?;
+            optional(field(told, "limits")?, "probes", boolean)?;
             remarks.push(format!(
                 "field 'feedback.how' is {how}, and servers on sockets tell no load; calls go by the list's weights alone"
             ));
@@ -28,17 +28,17 @@
         other => return Err(format!("field 'feedback.how' names unknown '{other}'")),
     }
     figures(told)?;
-    distinct("azs", names(told, "azs")?)?;
+    distinct("azs", text_array(told, "azs")?)?;
     for key in ["trafficTypes", "tenants"] {
-        let listed = maybe(told, key, array)?.map_or(&[][..], Vec::as_slice);
+        let listed = optional(told, key, array)?.map_or(&[][..], Vec::as_slice);
         let named = listed.iter().map(|one| text(one, "name").map(str::to_owned));
-        distinct(key, named.collect::<Outcome<_>>().map_err(|e| format!("field '{key}': {e}"))?)?;
+        distinct(key, named.collect::<ParseResult<_>>().map_err(|e| format!("field '{key}': {e}"))?)?;
     }
     Ok(remarks)
 }
 
 /// Calls and servers are told by these names.
-fn distinct(key: &str, mut names: Vec<String>) -> Outcome<()> {
+fn distinct(key: &str, mut names: Vec<String>) -> ParseResult<()> {
     names.sort_unstable();
     match names.windows(2).find(|two| two[0] == two[1]) {
         Some(two) => Err(format!("field '{key}' names '{}' twice", two[0])),
@@ -47,8 +47,8 @@
 }
 
 /// Figures that no deployment can mean.
-fn figures(told: &Value) -> Outcome<()> {
-    let least = |part: &str, names: &[&str], above: bool| -> Outcome<()> {
+fn figures(told: &Value) -> ParseResult<()> {
+    let least = |part: &str, names: &[&str], above: bool| -> ParseResult<()> {
         for name in names {
             let figure = number(field(told, part)?, name)?;
             if above && figure <= 0.0 {
--- a/crates/dewhead-wirehost/src/host.rs
+++ b/crates/dewhead-wirehost/src/host.rs
@@ -4,9 +4,9 @@
 use dewhead::state::{Balancer, Call};
 use dewhead::terms::{Ending, Listed, News, State, Wanted};
 use dewhead_startup::fields::{
-    array, field, maybe, number, place_in, seconds, text, truth, whole, wrong, Outcome,
+    array, boolean, field, index_in, integer, invalid, number, optional, seconds, text, ParseResult,
 };
-use dewhead_startup::{Known, Startup};
+use dewhead_startup::{KnownNames, Startup};
 use serde_json::Value;
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -19,7 +19,7 @@
 struct Instance {
     door: Rc<Door>,
     balancer: Rc<Balancer>,
-    known: Known,
+    known: KnownNames,
     /// Where in a load report the load asked over the load possible stands.
     asked_field: Option<usize>,
     /// Calls the wire may still speak of; one leaves when it is over.
@@ -47,50 +47,50 @@
 type Decoded = (Vec<String>, Rc<Vec<Listed>>);
 
 impl List {
-    fn entries(&self, zones: &[String]) -> Outcome<Rc<Vec<Listed>>> {
+    fn entries(&self, zones: &[String]) -> ParseResult<Rc<Vec<Listed>>> {
         if let Some((_, entries)) = self.decoded.borrow().as_ref().filter(|(by, _)| by == zones) {
             return Ok(entries.clone());
         }
         let rows = self.rows.as_array().map(Vec::as_slice).unwrap_or_default();
-        let entries = Rc::new(rows.iter().map(|row| entry(row, zones)).collect::<Outcome<Vec<_>>>()?);
+        let entries = Rc::new(rows.iter().map(|row| entry(row, zones)).collect::<ParseResult<Vec<_>>>()?);
         *self.decoded.borrow_mut() = Some((zones.to_vec(), entries.clone()));
         Ok(entries)
     }
 }
 
-fn entry(row: &Value, zones: &[String]) -> Outcome<Listed> {
+fn entry(row: &Value, zones: &[String]) -> ParseResult<Listed> {
     Ok(Listed {
         id: server_id(row)?,
-        zone: place_in(row, "rackZone", zones)?,
-        cell: maybe(row, "block", whole)?.unwrap_or(0),
+        zone: index_in(row, "rackZone", zones)?,
+        cell: optional(row, "block", integer)?.unwrap_or(0),
         state: match text(row, "mode")? {
             "Ready" => State::Ready,
             "Terminating" => State::Draining,
             "Gone" => State::Gone,
             other => return Err(format!("field 'mode' names unknown '{other}'")),
         },
-        weight: maybe(row, "size", number)?.unwrap_or(1.0),
-        started: maybe(row, "readyAt", seconds)?.filter(|at| *at > 0.0),
+        weight: optional(row, "size", number)?.unwrap_or(1.0),
+        started: optional(row, "readyAt", seconds)?.filter(|at| *at > 0.0),
     })
 }
 
-fn server_id(of: &Value) -> Outcome<u64> {
-    u32::try_from(whole(of, "server")?).map(u64::from).map_err(|_| wrong("server", "a number below 2^32"))
+fn server_id(of: &Value) -> ParseResult<u64> {
+    u32::try_from(integer(of, "server")?).map(u64::from).map_err(|_| invalid("server", "a number below 2^32"))
 }
 
-fn call_id(of: &Value) -> Outcome<u64> {
+fn call_id(of: &Value) -> ParseResult<u64> {
     let hex = text(of, "txn")?;
     match u64::from_str_radix(hex, 16) {
         Ok(id) if hex.len() == 16 => Ok(id),
-        _ => Err(wrong("txn", "16 hex digits")),
+        _ => Err(invalid("txn", "16 hex digits")),
     }
 }
 
 impl Host {
     /// One batch in, one reply out; an error says what is wrong with the batch.
-    pub fn batch(&mut self, line: &[u8]) -> Outcome<String> {
+    pub fn batch(&mut self, line: &[u8]) -> ParseResult<String> {
         let batch: Value = serde_json::from_slice(line).map_err(|e| format!("malformed line: {e}"))?;
-        let frame = whole(&batch, "frame").map_err(|e| format!("batch: {e}"))?;
+        let frame = integer(&batch, "frame").map_err(|e| format!("batch: {e}"))?;
         let tell = |e: String| format!("frame {frame}: {e}");
         let wall = number(&batch, "wall").map_err(tell)?;
         let inbox = array(&batch, "inbox").map_err(tell)?;
@@ -108,9 +108,9 @@
         Ok(self.output.borrow().clone())
     }
 
-    fn event(&mut self, wall: f64, name: &str, of: &Value) -> Outcome<()> {
+    fn event(&mut self, wall: f64, name: &str, of: &Value) -> ParseResult<()> {
         if name == "LIST" {
-            let slot = whole(of, "slot")?;
+            let slot = integer(of, "slot")?;
             array(of, "rowsIn")?;
             self.lists.insert(slot, List { rows: of["rowsIn"].clone(), decoded: RefCell::default() });
             return Ok(());
@@ -135,17 +135,17 @@
 }
 
 impl Instance {
-    fn start(now: f64, who: &str, output: Output, of: &Value) -> Outcome<Instance> {
-        let seed = u128::from(whole(of, "initSeed")?);
-        let startup = Startup::read(field(of, "profileData")?)?;
+    fn start(now: f64, who: &str, output: Output, of: &Value) -> ParseResult<Instance> {
+        let seed = u128::from(integer(of, "initSeed")?);
+        let startup = Startup::parse(field(of, "profileData")?)?;
         let door = Rc::new(Door::new(who, output));
-        let asked_field = startup.asked_field;
-        let (balancer, known) = startup.balancer(seed, door.clone());
+        let asked_field = startup.requested_load_field;
+        let (balancer, known) = startup.into_balancer(seed, door.clone());
         balancer.begin(now);
         Ok(Instance { door, balancer, known, asked_field, calls: HashMap::new(), echoes: VecDeque::new() })
     }
 
-    fn list(&self, now: f64, of: &Value, lists: &HashMap<u64, List>) -> Outcome<()> {
+    fn list(&self, now: f64, of: &Value, lists: &HashMap<u64, List>) -> ParseResult<()> {
         let news = match text(of, "form")? {
             "delta" => News::Changes,
             "full" => News::Whole,
@@ -156,28 +156,28 @@
             }
             other => return Err(format!("field 'form' names unknown '{other}'")),
         };
-        let slot = whole(of, "slot")?;
+        let slot = integer(of, "slot")?;
         let list = lists.get(&slot).ok_or_else(|| format!("field 'slot' names unknown list {slot}"))?;
         let entries = list.entries(&self.known.zones)?;
         self.balancer.list(now, news, &entries);
         Ok(())
     }
 
-    fn event(&mut self, wall: f64, name: &str, of: &Value) -> Outcome<()> {
+    fn event(&mut self, wall: f64, name: &str, of: &Value) -> ParseResult<()> {
         let now = wall / 1000.0;
         match name {
             "INGRESS" | "ALREADY_OPEN" => {
                 let id = call_id(of)?;
                 let wanted = Wanted {
-                    traffic: place_in(of, "band", &self.known.traffic)?,
+                    traffic: index_in(of, "band", &self.known.traffic_types)?,
                     shop: match of.get("org") {
-                        Some(Value::String(_)) => Some(place_in(of, "org", &self.known.shops)?),
+                        Some(Value::String(_)) => Some(index_in(of, "org", &self.known.tenants)?),
                         _ => None,
                     },
                     until: seconds(of, "deadline")?,
                     // Milliseconds of work a second.
-                    hint: maybe(of, "costGuess", seconds)?,
-                    group: maybe(of, "teamId", whole)?,
+                    hint: optional(of, "costGuess", seconds)?,
+                    group: optional(of, "teamId", integer)?,
                 };
                 let call = match name {
                     "INGRESS" => self.balancer.take(now, id, wanted),
@@ -187,7 +187,7 @@
                 self.settle(wall, id);
             }
             "FIRST_BYTE" => {
-                let leg = whole(of, "roundNo")? as usize;
+                let leg = integer(of, "roundNo")? as usize;
                 self.with_call(wall, of, |call| {
                     call.established(now, leg);
                     Ok(())
@@ -198,8 +198,8 @@
                 Ok(())
             })?,
             "INTERIM" => self.with_call(wall, of, |call| {
-                let (leg, amount) = (whole(of, "roundNo")? as usize, number(of, "amount")?);
-                match whole(of, "kind")? {
+                let (leg, amount) = (integer(of, "roundNo")? as usize, number(of, "amount")?);
+                match integer(of, "kind")? {
                     1 => call.load_is(now, leg, amount / 1e6),
                     2 => call.messages_take(now, leg, amount / 1000.0),
                     _ => {}
@@ -207,14 +207,14 @@
                 Ok(())
             })?,
             "ATTEMPT_END" => {
-                let (leg, last) = (whole(of, "roundNo")? as usize, truth(of, "last")?);
+                let (leg, last) = (integer(of, "roundNo")? as usize, boolean(of, "last")?);
                 let ending = ending(text(of, "result")?)?;
                 self.with_call(wall, of, |call| {
                     call.ended(now, leg, ending, last);
                     Ok(())
                 })?;
             }
-            "TICK_DUE" => match self.door.fired(whole(of, "name")?) {
+            "TICK_DUE" => match self.door.fired(integer(of, "name")?) {
                 Some(None) => self.balancer.woken(now),
                 Some(Some(id)) => {
                     if let Some(call) = self.calls.get(&id).cloned() {
@@ -234,8 +234,8 @@
     }
 
     /// The load asked over the load possible, where a report came along.
-    fn asked(&self, of: &Value) -> Outcome<Option<f64>> {
-        let usage = maybe(of, "usage", array)?;
+    fn asked(&self, of: &Value) -> ParseResult<Option<f64>> {
+        let usage = optional(of, "usage", array)?;
         Ok(self.asked_field.and_then(|at| usage?.get(at)?.as_f64()))
     }
 
@@ -243,8 +243,8 @@
         &mut self,
         wall: f64,
         of: &Value,
-        tell: impl FnOnce(&Rc<Call>) -> Outcome<()>,
-    ) -> Outcome<()> {
+        tell: impl FnOnce(&Rc<Call>) -> ParseResult<()>,
+    ) -> ParseResult<()> {
         let id = call_id(of)?;
         match self.calls.get(&id) {
             Some(call) => tell(call)?,
@@ -267,7 +267,7 @@
     }
 }
 
-fn ending(name: &str) -> Outcome<Ending> {
+fn ending(name: &str) -> ParseResult<Ending> {
     Ok(match name {
         "OK" => Ending::Served,
         "INTERNAL" => Ending::Error,
