--- a/crates/dewhead-proxy/src/clock.rs
+++ b/crates/dewhead-proxy/src/clock.rs
@@ -7,7 +7,7 @@
 
 /// Counts seconds since 1970 from the wall clock's time at the start, without following its steps.
 pub struct Clock {
-    start: Instant,
+    started_at: Instant,
     /// Unix time at the start, in seconds.
     start_time: f64,
 }
@@ -20,12 +20,12 @@
 impl Clock {
     /// A clock that is set to the wall clock now.
     pub fn start() -> Clock {
-        Clock { start: Instant::now(), start_time: wall() }
+        Clock { started_at: Instant::now(), start_time: wall() }
     }
 
     /// The current time, in seconds; monotonic.
     pub fn now(&self) -> f64 {
-        self.start_time + self.start.elapsed().as_secs_f64()
+        self.start_time + self.started_at.elapsed().as_secs_f64()
     }
 
     /// How many seconds the wall clock is ahead of this one: the sum of its steps since the start. `None` where the process was
--- a/crates/dewhead-proxy/src/wire/lines.rs
+++ b/crates/dewhead-proxy/src/wire/lines.rs
@@ -32,8 +32,8 @@
             self.length += piece.len();
             offset += piece.len();
             if end.is_some() {
-                let start = &self.start[..self.length.min(KEPT_BYTES)];
-                on_line(trim_line_end(start), offset);
+                let line_start = &self.start[..self.length.min(KEPT_BYTES)];
+                on_line(trim_line_end(line_start), offset);
                 self.length = 0;
             }
         }
--- a/crates/dewhead-startup/src/lib.rs
+++ b/crates/dewhead-startup/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings object that an instance is given at its start, read and checked once. Both hosts, the simulator's
-//! adapter and the proxy, make their balancer of it.
+//! Parses the settings object that an instance is given at its start. Both hosts, the simulator's adapter and the proxy,
+//! build their balancer from it.
 
 pub mod fields;
 pub mod validation;
@@ -13,142 +13,166 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// The names that calls and servers are told by; their places here are what the module knows.
+/// The names that calls and servers refer to. The balancer knows them by their index here.
 pub struct KnownNames {
     pub zones: Vec<String>,
     pub traffic_types: Vec<String>,
     pub tenants: Vec<String>,
 }
 
-/// What the settings say of servers that have just started, for checks that stand apart from the decisions. Times are
-/// seconds.
+/// The settings about servers that have just started, for checks that are independent of the balancer's decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartSettings {
-    /// What part of its capacity a server has at its start, at the least, and when it is warm at the latest.
+    /// The share of its capacity that a server has at its start, at least.
     pub cold_share: f64,
+    /// The age at which a server is warm, at the latest, in seconds.
     pub warm_after: f64,
-    /// A server that is sent this many times its present capacity over the window falls.
+    /// A server that is sent this many times its present capacity within the window fails.
     pub max_capacity_multiple: f64,
+    /// The length of the window, in seconds.
     pub window: f64,
+    /// The number of proxies.
     pub proxies: f64,
-    /// Connections that all shops together have agreed on; 0 where not told.
+    /// The sum of all tenants' connection quotas; 0 where the settings have none.
     pub agreed_connections: f64,
-    /// Whether a server's weight tells its size.
+    /// Whether a server's weight is its size.
     pub weights_are_sizes: bool,
 }
 
-/// What the settings hold, checked; `balancer` puts it together.
+/// The parsed settings; `into_balancer` builds the balancer from them.
 pub struct Startup {
     pub names: KnownNames,
-    /// Where in a load report the load asked over the load possible stands.
+    /// Index within a load report of the ratio of requested load to capacity, if servers report it.
     pub requested_load_field: Option<usize>,
-    /// Whether a group named with a call shares work.
+    /// Whether calls of the same group share work on a server.
     pub groups: bool,
-    /// Whether the list of servers must be asked for.
+    /// Whether the server list must be subscribed to.
     pub must_subscribe: bool,
-    /// A connection to a server not made by then is given up.
+    /// A connection to a server that is not established within this is given up, in seconds.
     pub connect_timeout: f64,
-    /// The longest that a client may wait, over all traffic types.
+    /// The longest guard time of all traffic types, in seconds.
     pub longest_guard_time: f64,
-    /// The shortest message target.
+    /// The shortest message target of all traffic types, in seconds.
     pub shortest_message_target: f64,
+    /// This balancer's index among all balancers.
     position: usize,
+    /// The number of all balancers.
     siblings: usize,
     traffic_types: Vec<TrafficType>,
     tenants: Vec<Shop>,
+    /// The revenue of traffic beyond a tenant's share, relative to traffic within it.
     overage_revenue: f64,
+    /// Without a subscription the list counts as received after this, in seconds.
     list_assumed_after: f64,
+    /// Index of this balancer's zone.
     home_zone: usize,
+    /// The price of a connection to another zone.
     cross_zone_price: f64,
+    /// The price of moving a connection.
     move_price: f64,
     slow_start: SlowStart,
     legs: Legs,
+    /// Whether the weights in the list follow the servers' load.
     live_weights: bool,
-    /// Whether servers tell their load when probed, where the host has a word for it.
+    /// Whether servers report their load when probed, where the host's protocol has a probe.
     pub probes: bool,
 }
 
 impl Startup {
-    pub fn parse(told: &Value) -> ParseResult<Startup> {
-        let (limits, rules) = (field(told, "limits")?, field(told, "obligations")?);
-        let (nature, prices) = (field(told, "specifics")?, field(told, "deductions")?);
-        let zones = text_array(told, "azs")?;
-        let listed = array(told, "trafficTypes")?;
-        let messages = optional(nature, "messageAim", array)?;
-        let mut traffic = Vec::new();
-        for (at, one) in listed.iter().enumerate() {
-            let setup_target = seconds(one, "setupTarget")?;
-            let message = messages.and_then(|m| m.get(at)).and_then(Value::as_f64).map(|ms| ms / 1000.0);
-            traffic.push(TrafficType {
-                effect: effect(one)?,
-                window: optional(one, "repeatWindow", seconds)?.unwrap_or(0.0),
+    /// Parses the settings.
+    ///
+    /// # Errors
+    ///
+    /// The field that is missing or invalid.
+    pub fn parse(settings: &Value) -> ParseResult<Startup> {
+        let (limits, obligations) = (field(settings, "limits")?, field(settings, "obligations")?);
+        let (specifics, deductions) = (field(settings, "specifics")?, field(settings, "deductions")?);
+        let zones = text_array(settings, "azs")?;
+        let type_settings = array(settings, "trafficTypes")?;
+        let message_targets = optional(specifics, "messageAim", array)?;
+        let mut traffic_types = Vec::new();
+        for (index, entry) in type_settings.iter().enumerate() {
+            let setup_target = seconds(entry, "setupTarget")?;
+            let message_target =
+                message_targets.and_then(|m| m.get(index)).and_then(Value::as_f64).map(|ms| ms / 1000.0);
+            traffic_types.push(TrafficType {
+                effect: parse_effect(entry)?,
+                window: optional(entry, "repeatWindow", seconds)?.unwrap_or(0.0),
                 setup_target,
-                message_target: message.unwrap_or(setup_target),
-                guard_time: seconds(one, "guardTime")?,
-                revenue: number(one, "revenue")?,
+                message_target: message_target.unwrap_or(setup_target),
+                guard_time: seconds(entry, "guardTime")?,
+                revenue: number(entry, "revenue")?,
             });
         }
-        let no_shops = Vec::new();
-        let shops = optional(told, "tenants", array)?.unwrap_or(&no_shops);
-        let quotas = optional(nature, "tenantQuotaConnections", array)?;
-        let shop = |(at, one): (usize, &Value)| {
-            let standing = quotas.and_then(|q| q.get(at)).and_then(Value::as_f64).unwrap_or(0.0);
-            Ok(Shop { share: number(one, "share")?, standing })
+        let no_tenants = Vec::new();
+        let tenant_settings = optional(settings, "tenants", array)?.unwrap_or(&no_tenants);
+        let quotas = optional(specifics, "tenantQuotaConnections", array)?;
+        let parse_tenant = |(index, entry): (usize, &Value)| {
+            let standing = quotas.and_then(|q| q.get(index)).and_then(Value::as_f64).unwrap_or(0.0);
+            Ok(Shop { share: number(entry, "share")?, standing })
         };
-        let feedback = field(told, "feedback")?;
+        let feedback = field(settings, "feedback")?;
         let reported = text(feedback, "how")? != "off";
-        let asked_field = text_array(feedback, "fields")?.iter().position(|f| reported && f == "x0");
-        let probes = asked_field.is_some() && optional(limits, "probes", boolean)?.unwrap_or(false);
+        let requested_load_field = text_array(feedback, "fields")?.iter().position(|f| reported && f == "x0");
+        let probes = requested_load_field.is_some() && optional(limits, "probes", boolean)?.unwrap_or(false);
         let slow_start = SlowStart {
-            cold_share: number(rules, "coldShare")?,
-            // Warm at once is a warm-up of no time; times are divided by it.
-            warm_after: seconds(rules, "cold")?.max(1e-3),
-            multiple: number(rules, "fallMultiple")?,
-            window: seconds(rules, "tipAfter")?,
+            cold_share: number(obligations, "coldShare")?,
+            // A warm-up time of 0 is valid, and times are divided by it.
+            warm_after: seconds(obligations, "cold")?.max(1e-3),
+            multiple: number(obligations, "fallMultiple")?,
+            window: seconds(obligations, "tipAfter")?,
         };
-        let stays_away = boolean(limits, "retryAfter")?;
+        let may_send_retry_after = boolean(limits, "retryAfter")?;
         let legs = Legs {
             most: integer(limits, "mostLegs")?.min(64) as u32,
             two_at_once: boolean(limits, "secondCopies")?,
             may_withdraw: boolean(limits, "cancel")?,
-            stay_away: if stays_away { Some(seconds(limits, "maxRetryAfter")?) } else { None },
+            stay_away: if may_send_retry_after { Some(seconds(limits, "maxRetryAfter")?) } else { None },
         };
-        let named = |list: &[Value]| -> ParseResult<Vec<String>> {
-            list.iter().map(|one| text(one, "name").map(str::to_owned)).collect()
+        let names_of = |list: &[Value]| -> ParseResult<Vec<String>> {
+            list.iter().map(|entry| text(entry, "name").map(str::to_owned)).collect()
         };
         Ok(Startup {
-            requested_load_field: asked_field,
+            requested_load_field,
             probes,
-            groups: optional(nature, "groups", boolean)?.unwrap_or(false),
-            must_subscribe: text(told, "membershipMode")? == "subscribe",
+            groups: optional(specifics, "groups", boolean)?.unwrap_or(false),
+            must_subscribe: text(settings, "membershipMode")? == "subscribe",
             connect_timeout: optional(limits, "connectTimeout", seconds)?.unwrap_or(f64::INFINITY),
-            longest_guard_time: traffic.iter().map(|t| t.guard_time).fold(0.0, f64::max),
-            shortest_message_target: traffic.iter().map(|t| t.message_target).fold(f64::INFINITY, f64::min),
-            position: integer(told, "position")? as usize,
-            siblings: integer(told, "siblings")? as usize,
-            traffic_types: traffic,
-            tenants: shops.iter().enumerate().map(shop).collect::<ParseResult<_>>()?,
-            overage_revenue: optional(told, "overageRevenue", number)?.unwrap_or(1.0),
-            list_assumed_after: optional(rules, "mustAskIn", seconds)?.unwrap_or(10.0),
-            home_zone: index_in(told, "locality", &zones)?,
-            cross_zone_price: number(prices, "crossZone")?,
-            move_price: number(prices, "moves")?,
+            longest_guard_time: traffic_types.iter().map(|t| t.guard_time).fold(0.0, f64::max),
+            shortest_message_target: traffic_types
+                .iter()
+                .map(|t| t.message_target)
+                .fold(f64::INFINITY, f64::min),
+            position: integer(settings, "position")? as usize,
+            siblings: integer(settings, "siblings")? as usize,
+            traffic_types,
+            tenants: tenant_settings.iter().enumerate().map(parse_tenant).collect::<ParseResult<_>>()?,
+            overage_revenue: optional(settings, "overageRevenue", number)?.unwrap_or(1.0),
+            list_assumed_after: optional(obligations, "mustAskIn", seconds)?.unwrap_or(10.0),
+            home_zone: index_in(settings, "locality", &zones)?,
+            cross_zone_price: number(deductions, "crossZone")?,
+            move_price: number(deductions, "moves")?,
             slow_start,
             legs,
-            live_weights: match optional(told, "weights", text)?.unwrap_or("nominal") {
+            live_weights: match optional(settings, "weights", text)?.unwrap_or("nominal") {
                 "live" => true,
                 "off" | "nominal" | "rough" => false,
                 other => return Err(format!("field 'weights' names unknown '{other}'")),
             },
-            names: KnownNames { zones, traffic_types: named(listed)?, tenants: named(shops)? },
+            names: KnownNames {
+                zones,
+                traffic_types: names_of(type_settings)?,
+                tenants: names_of(tenant_settings)?,
+            },
         })
     }
 
+    /// The traffic types, in the order of their names.
     pub fn traffic_types(&self) -> &[TrafficType] {
         &self.traffic_types
     }
 
-    /// What the settings say of servers that have just started.
+    /// The settings about servers that have just started.
     pub fn slow_start(&self) -> SlowStartSettings {
         SlowStartSettings {
             cold_share: self.slow_start.cold_share,
@@ -156,22 +180,22 @@
             max_capacity_multiple: self.slow_start.multiple,
             window: self.slow_start.window,
             proxies: self.siblings.max(1) as f64,
-            agreed_connections: self.tenants.iter().map(|shop| shop.standing).sum(),
+            agreed_connections: self.tenants.iter().map(|tenant| tenant.standing).sum(),
             weights_are_sizes: !self.live_weights,
         }
     }
 
-    /// Whether two attempts of a call may be out at the same time.
+    /// Whether two attempts of a call may be open at the same time.
     pub fn two_at_once(&self) -> bool {
         self.legs.two_at_once
     }
 
-    /// The traffic types and the names, for hosts that place by a rule of their own.
+    /// The traffic types and the names, for hosts that place calls by another rule.
     pub fn into_traffic_types_and_names(self) -> (Vec<TrafficType>, KnownNames) {
         (self.traffic_types, self.names)
     }
 
-    /// The balancer that these settings describe, and the names its host needs.
+    /// Builds the balancer, and returns the names that its host needs.
     pub fn into_balancer(self, seed: u128, door: Rc<dyn Outward>) -> (Rc<Balancer>, KnownNames) {
         let balancer = Balancer::new(
             seed,
@@ -193,7 +217,7 @@
     }
 }
 
-fn effect(of: &Value) -> ParseResult<Effect> {
+fn parse_effect(of: &Value) -> ParseResult<Effect> {
     Ok(match text(of, "idempotency")? {
         "retryable" => Effect::Repeatable,
         "fragile" => Effect::OnceOnly,
--- a/crates/dewhead-startup/src/validation.rs
+++ b/crates/dewhead-startup/src/validation.rs
@@ -1,80 +1,85 @@
-//! Whether the settings can be meant. What no deployment can mean is refused by its key; what is legal but unusual is
-//! obeyed, and where that leaves something out, a remark says so. The simulator says what its days are, and is taken at
-//! its word; a configuration that a person writes is checked.
+//! Validation of settings that a person writes. Settings that no deployment can mean are refused with the key; settings that
+//! are valid but unusual are accepted, with a remark where they have no or little effect. The simulator generates its
+//! settings and skips this validation.
 
 use crate::fields::{array, boolean, field, number, optional, text, text_array, ParseResult};
 use serde_json::Value;
 
-/// An error names the key that can't be meant. What is obeyed otherwise than its words say comes back, a line each.
-pub fn validate(told: &Value) -> ParseResult<Vec<String>> {
+/// Validates the settings. Returns a one-line remark for each setting that does not have the effect that its name suggests.
+///
+/// # Errors
+///
+/// The key that is invalid.
+pub fn validate(settings: &Value) -> ParseResult<Vec<String>> {
     let mut remarks = Vec::new();
-    let live = optional(told, "weights", text)? == Some("live");
-    if live && text(told, "membershipMode")? == "subscribe" {
+    let live_weights = optional(settings, "weights", text)? == Some("live");
+    if live_weights && text(settings, "membershipMode")? == "subscribe" {
         remarks.push(
-            "field 'weights' is live beside 'membershipMode' subscribe: what they say of load is old".into(),
+            "field 'weights' is live with 'membershipMode' subscribe: the load that the weights reflect is outdated"
+                .into(),
         );
     }
-    let feedback = field(told, "feedback")?;
+    let feedback = field(settings, "feedback")?;
     match text(feedback, "how")? {
         "off" => {}
-        // A proxy that did not start served nobody, and weights alone serve nearly as well.
+        // A proxy that refused to start would serve nobody, and placement by weights alone is nearly as good.
         how @ ("on_probe" | "inline") => {
             text_array(feedback, "fields")?;
-            optional(field(told, "limits")?, "probes", boolean)?;
+            optional(field(settings, "limits")?, "probes", boolean)?;
             remarks.push(format!(
-                "field 'feedback.how' is {how}, and servers on sockets tell no load; calls go by the list's weights alone"
+                "field 'feedback.how' is {how}, but servers on sockets report no load; calls are placed by the list's weights alone"
             ));
         }
         other => return Err(format!("field 'feedback.how' names unknown '{other}'")),
     }
-    figures(told)?;
-    distinct("azs", text_array(told, "azs")?)?;
+    check_numbers(settings)?;
+    check_distinct("azs", text_array(settings, "azs")?)?;
     for key in ["trafficTypes", "tenants"] {
-        let listed = optional(told, key, array)?.map_or(&[][..], Vec::as_slice);
-        let named = listed.iter().map(|one| text(one, "name").map(str::to_owned));
-        distinct(key, named.collect::<ParseResult<_>>().map_err(|e| format!("field '{key}': {e}"))?)?;
+        let entries = optional(settings, key, array)?.map_or(&[][..], Vec::as_slice);
+        let names = entries.iter().map(|entry| text(entry, "name").map(str::to_owned));
+        check_distinct(key, names.collect::<ParseResult<_>>().map_err(|e| format!("field '{key}': {e}"))?)?;
     }
     Ok(remarks)
 }
 
-/// Calls and servers are told by these names.
-fn distinct(key: &str, mut names: Vec<String>) -> ParseResult<()> {
+/// Checks that no name appears twice, since calls and servers refer to these names.
+fn check_distinct(key: &str, mut names: Vec<String>) -> ParseResult<()> {
     names.sort_unstable();
-    match names.windows(2).find(|two| two[0] == two[1]) {
-        Some(two) => Err(format!("field '{key}' names '{}' twice", two[0])),
+    match names.windows(2).find(|pair| pair[0] == pair[1]) {
+        Some(pair) => Err(format!("field '{key}' names '{}' twice", pair[0])),
         None => Ok(()),
     }
 }
 
-/// Figures that no deployment can mean.
-fn figures(told: &Value) -> ParseResult<()> {
-    let least = |part: &str, names: &[&str], above: bool| -> ParseResult<()> {
+/// Checks the numbers for values that no deployment can mean.
+fn check_numbers(settings: &Value) -> ParseResult<()> {
+    let check_minimum = |section: &str, names: &[&str], must_be_positive: bool| -> ParseResult<()> {
         for name in names {
-            let figure = number(field(told, part)?, name)?;
-            if above && figure <= 0.0 {
-                return Err(format!("field '{part}.{name}' is not above 0"));
+            let value = number(field(settings, section)?, name)?;
+            if must_be_positive && value <= 0.0 {
+                return Err(format!("field '{section}.{name}' is not above 0"));
             }
-            if figure < 0.0 {
-                return Err(format!("field '{part}.{name}' is negative"));
+            if value < 0.0 {
+                return Err(format!("field '{section}.{name}' is negative"));
             }
         }
         Ok(())
     };
-    least("obligations", &["fallMultiple", "tipAfter"], true)?;
-    least("limits", &["mostLegs"], true)?;
-    // A server that is warm from its first moment, or bears nothing in it, is unusual.
-    least("obligations", &["coldShare", "cold"], false)?;
-    least("deductions", &["crossZone", "moves"], false)?;
-    if number(field(told, "obligations")?, "coldShare")? > 1.0 {
+    check_minimum("obligations", &["fallMultiple", "tipAfter"], true)?;
+    check_minimum("limits", &["mostLegs"], true)?;
+    // A server that is warm immediately, or has no capacity at its start, is unusual but valid.
+    check_minimum("obligations", &["coldShare", "cold"], false)?;
+    check_minimum("deductions", &["crossZone", "moves"], false)?;
+    if number(field(settings, "obligations")?, "coldShare")? > 1.0 {
         return Err("field 'obligations.coldShare' is over 1".into());
     }
-    let listed = array(told, "trafficTypes")?;
-    if listed.is_empty() {
+    let traffic_types = array(settings, "trafficTypes")?;
+    if traffic_types.is_empty() {
         return Err("field 'trafficTypes' names none".into());
     }
-    for one in listed {
+    for traffic_type in traffic_types {
         for name in ["setupTarget", "guardTime"] {
-            if number(one, name)? <= 0.0 {
+            if number(traffic_type, name)? <= 0.0 {
                 return Err(format!("field 'trafficTypes.{name}' is not above 0"));
             }
         }
