--- a/crates/dewhead-wirehost/src/door.rs
+++ b/crates/dewhead-wirehost/src/actions.rs
@@ -1,4 +1,4 @@
-//! What a balancer asks for, written as the wire's actions.
+//! Writes a balancer's requests to its host as actions on the simulator's wire.
 
 use dewhead::outward::Outward;
 use std::cell::{Cell, RefCell};
@@ -9,42 +9,54 @@
 /// The actions of one batch, from all instances, in the order they were taken.
 pub type Output = Rc<RefCell<String>>;
 
-pub struct Door {
-    pub who: String,
+/// Writes the actions of one instance.
+pub struct ActionWriter {
+    /// The instance's name on the wire.
+    pub instance: String,
     pub output: Output,
-    tokens: Cell<u64>,
-    /// Which call a timer is for; none for the balancer's own. An entry goes when its timer fires.
+    /// The latest timer token.
+    last_token: Cell<u64>,
+    /// By timer token: the call that the timer is for, or none for the balancer's own. An entry is removed when its timer
+    /// fires.
     timers: RefCell<HashMap<u64, Option<u64>>>,
 }
 
-impl Door {
-    pub fn new(who: &str, output: Output) -> Door {
-        Door { who: who.to_owned(), output, tokens: Cell::new(0), timers: RefCell::default() }
+impl ActionWriter {
+    /// A writer for the instance of this name.
+    pub fn new(instance: &str, output: Output) -> ActionWriter {
+        ActionWriter {
+            instance: instance.to_owned(),
+            output,
+            last_token: Cell::new(0),
+            timers: RefCell::default(),
+        }
     }
 
-    /// Whose timer has fired, if it is one of ours.
-    pub fn fired(&self, token: u64) -> Option<Option<u64>> {
+    /// Removes a timer that has fired and returns the call that it is for; the outer `None` if this instance set no such timer.
+    pub fn take_timer(&self, token: u64) -> Option<Option<u64>> {
         self.timers.borrow_mut().remove(&token)
     }
 
+    /// Appends an action; `fields` begins with a comma, or is empty.
     fn action(&self, name: &str, fields: std::fmt::Arguments) {
         let mut output = self.output.borrow_mut();
         if !output.ends_with('[') {
             output.push(',');
         }
-        // Writing to a string does not fail.
-        let _ = write!(output, "{{\"{name}\":{{\"who\":\"{}\"{fields}}}}}", self.who);
+        // Writing to a string never fails.
+        let _ = write!(output, "{{\"{name}\":{{\"who\":\"{}\"{fields}}}}}", self.instance);
     }
 
+    /// Requests a timer for `at`, in seconds.
     fn timer(&self, at: f64, call: Option<u64>) {
-        let token = self.tokens.get() + 1;
-        self.tokens.set(token);
+        let token = self.last_token.get() + 1;
+        self.last_token.set(token);
         self.timers.borrow_mut().insert(token, call);
         self.action("WAKE_ME", format_args!(",\"instant\":{:.3},\"name\":{token}", at * 1000.0));
     }
 }
 
-impl Outward for Door {
+impl Outward for ActionWriter {
     fn send(&self, call: u64, server: u64, limit: f64) {
         let limit = limit * 1000.0;
         self.action(
--- a/crates/dewhead-wirehost/src/host.rs
+++ b/crates/dewhead-wirehost/src/host.rs
@@ -1,6 +1,6 @@
-//! The instances of one process: what the wire says becomes calls on their balancers.
+//! The instances of one process: events from the simulator's wire become calls on their balancers.
 
-use crate::door::{Door, Output};
+use crate::actions::{ActionWriter, Output};
 use dewhead::state::{Balancer, Call};
 use dewhead::terms::{Ending, Listed, News, State, Wanted};
 use dewhead_startup::fields::{
@@ -13,52 +13,60 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// For how long the wire may still name a call that has ended, in milliseconds.
-const ECHO_MS: f64 = 1000.0;
+/// How long the wire may still refer to a call that has ended, in milliseconds.
+const LATE_EVENTS_MS: f64 = 1000.0;
 
+/// One balancer and what its host keeps for it.
 struct Instance {
-    door: Rc<Door>,
+    actions: Rc<ActionWriter>,
     balancer: Rc<Balancer>,
-    known: KnownNames,
-    /// Where in a load report the load asked over the load possible stands.
-    asked_field: Option<usize>,
-    /// Calls the wire may still speak of; one leaves when it is over.
+    names: KnownNames,
+    /// Index within a load report of the ratio of requested load to capacity, if servers report it.
+    requested_load_field: Option<usize>,
+    /// The open calls by id.
     calls: HashMap<u64, Rc<Call>>,
-    /// Calls that are over, for `ECHO_MS`: an event about one of them is late, not wrong.
-    echoes: VecDeque<(f64, u64)>,
+    /// Calls that ended within the last `LATE_EVENTS_MS`, with when they ended in milliseconds. An event about one of them is
+    /// late, not an error.
+    ended_calls: VecDeque<(f64, u64)>,
 }
 
+/// All instances of this process.
 #[derive(Default)]
 pub struct Host {
     output: Output,
+    /// By their name on the wire.
     instances: HashMap<String, Instance>,
-    /// Numbered lists, by number; the wire uses the same few numbers again and again.
+    /// Server lists by slot number; the wire reuses the same few slots.
     lists: HashMap<u64, List>,
 }
 
-/// A numbered list as it came, and as last decoded: by which zone names, and the entries. Where weights move with load
-/// it comes each second to hundreds of instances, which all have the same names; decoded for each it took most of the
-/// time (ktm-ingest, big-1).
+/// A server list as received, and as last decoded. Where weights follow load, a list is sent to hundreds of instances each
+/// second, all with the same zone names; decoding it for each of them took most of the time (ktm-ingest, big-1).
 struct List {
     rows: Value,
     decoded: RefCell<Option<Decoded>>,
 }
 
+/// The zone names that a list was decoded with, and its entries.
 type Decoded = (Vec<String>, Rc<Vec<Listed>>);
 
 impl List {
+    /// The decoded entries; decodes them unless they were last decoded with the same zone names.
     fn entries(&self, zones: &[String]) -> ParseResult<Rc<Vec<Listed>>> {
-        if let Some((_, entries)) = self.decoded.borrow().as_ref().filter(|(by, _)| by == zones) {
+        if let Some((_, entries)) =
+            self.decoded.borrow().as_ref().filter(|(decoded_with, _)| decoded_with == zones)
+        {
             return Ok(entries.clone());
         }
         let rows = self.rows.as_array().map(Vec::as_slice).unwrap_or_default();
-        let entries = Rc::new(rows.iter().map(|row| entry(row, zones)).collect::<ParseResult<Vec<_>>>()?);
+        let entries =
+            Rc::new(rows.iter().map(|row| parse_entry(row, zones)).collect::<ParseResult<Vec<_>>>()?);
         *self.decoded.borrow_mut() = Some((zones.to_vec(), entries.clone()));
         Ok(entries)
     }
 }
 
-fn entry(row: &Value, zones: &[String]) -> ParseResult<Listed> {
+fn parse_entry(row: &Value, zones: &[String]) -> ParseResult<Listed> {
     Ok(Listed {
         id: server_id(row)?,
         zone: index_in(row, "rackZone", zones)?,
@@ -87,27 +95,33 @@
 }
 
 impl Host {
-    /// One batch in, one reply out; an error says what is wrong with the batch.
+    /// Handles one batch of events and returns the reply line.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with the batch.
     pub fn batch(&mut self, line: &[u8]) -> ParseResult<String> {
         let batch: Value = serde_json::from_slice(line).map_err(|e| format!("malformed line: {e}"))?;
         let frame = integer(&batch, "frame").map_err(|e| format!("batch: {e}"))?;
-        let tell = |e: String| format!("frame {frame}: {e}");
-        let wall = number(&batch, "wall").map_err(tell)?;
-        let inbox = array(&batch, "inbox").map_err(tell)?;
+        let with_frame = |e: String| format!("frame {frame}: {e}");
+        let wall = number(&batch, "wall").map_err(with_frame)?;
+        let inbox = array(&batch, "inbox").map_err(with_frame)?;
         {
             let mut output = self.output.borrow_mut();
             output.clear();
             let _ = write!(output, "{{\"frame\":{frame},\"output\":[");
         }
         for event in inbox {
-            let one = event.as_object().filter(|o| o.len() == 1).and_then(|o| o.iter().next());
-            let (name, fields) = one.ok_or_else(|| tell("an event is not an object with one key".into()))?;
-            self.event(wall, name, fields).map_err(|e| tell(format!("{name}: {e}")))?;
+            let entry = event.as_object().filter(|o| o.len() == 1).and_then(|o| o.iter().next());
+            let (name, fields) =
+                entry.ok_or_else(|| with_frame("an event is not an object with one key".into()))?;
+            self.event(wall, name, fields).map_err(|e| with_frame(format!("{name}: {e}")))?;
         }
         self.output.borrow_mut().push_str("]}\n");
         Ok(self.output.borrow().clone())
     }
 
+    /// Handles an event, at `wall` milliseconds.
     fn event(&mut self, wall: f64, name: &str, of: &Value) -> ParseResult<()> {
         if name == "LIST" {
             let slot = integer(of, "slot")?;
@@ -115,18 +129,20 @@
             self.lists.insert(slot, List { rows: of["rowsIn"].clone(), decoded: RefCell::default() });
             return Ok(());
         }
-        let who = text(of, "who")?;
+        let instance_name = text(of, "who")?;
         if name == "UP" {
-            let instance = Instance::start(wall / 1000.0, who, self.output.clone(), of)?;
-            self.instances.insert(who.to_owned(), instance);
+            let instance = Instance::start(wall / 1000.0, instance_name, self.output.clone(), of)?;
+            self.instances.insert(instance_name.to_owned(), instance);
             return Ok(());
         }
         if name == "POWER_OFF" {
-            self.instances.remove(who);
+            self.instances.remove(instance_name);
             return Ok(());
         }
-        let instance =
-            self.instances.get_mut(who).ok_or_else(|| format!("field 'who' names unknown '{who}'"))?;
+        let instance = self
+            .instances
+            .get_mut(instance_name)
+            .ok_or_else(|| format!("field 'who' names unknown '{instance_name}'"))?;
         if name == "DIRECTORY_UPDATE" {
             return instance.list(wall / 1000.0, of, &self.lists);
         }
@@ -135,16 +151,25 @@
 }
 
 impl Instance {
-    fn start(now: f64, who: &str, output: Output, of: &Value) -> ParseResult<Instance> {
+    /// Starts an instance of this name at `now`, in seconds.
+    fn start(now: f64, instance_name: &str, output: Output, of: &Value) -> ParseResult<Instance> {
         let seed = u128::from(integer(of, "initSeed")?);
         let startup = Startup::parse(field(of, "profileData")?)?;
-        let door = Rc::new(Door::new(who, output));
-        let asked_field = startup.requested_load_field;
-        let (balancer, known) = startup.into_balancer(seed, door.clone());
+        let actions = Rc::new(ActionWriter::new(instance_name, output));
+        let requested_load_field = startup.requested_load_field;
+        let (balancer, names) = startup.into_balancer(seed, actions.clone());
         balancer.begin(now);
-        Ok(Instance { door, balancer, known, asked_field, calls: HashMap::new(), echoes: VecDeque::new() })
+        Ok(Instance {
+            actions,
+            balancer,
+            names,
+            requested_load_field,
+            calls: HashMap::new(),
+            ended_calls: VecDeque::new(),
+        })
     }
 
+    /// Hands a version of the server list to the balancer.
     fn list(&self, now: f64, of: &Value, lists: &HashMap<u64, List>) -> ParseResult<()> {
         let news = match text(of, "form")? {
             "delta" => News::Changes,
@@ -158,24 +183,25 @@
         };
         let slot = integer(of, "slot")?;
         let list = lists.get(&slot).ok_or_else(|| format!("field 'slot' names unknown list {slot}"))?;
-        let entries = list.entries(&self.known.zones)?;
+        let entries = list.entries(&self.names.zones)?;
         self.balancer.list(now, news, &entries);
         Ok(())
     }
 
+    /// Handles an event for this instance, at `wall` milliseconds.
     fn event(&mut self, wall: f64, name: &str, of: &Value) -> ParseResult<()> {
         let now = wall / 1000.0;
         match name {
             "INGRESS" | "ALREADY_OPEN" => {
                 let id = call_id(of)?;
                 let wanted = Wanted {
-                    traffic: index_in(of, "band", &self.known.traffic_types)?,
+                    traffic: index_in(of, "band", &self.names.traffic_types)?,
                     shop: match of.get("org") {
-                        Some(Value::String(_)) => Some(index_in(of, "org", &self.known.tenants)?),
+                        Some(Value::String(_)) => Some(index_in(of, "org", &self.names.tenants)?),
                         _ => None,
                     },
                     until: seconds(of, "deadline")?,
-                    // Milliseconds of work a second.
+                    // In milliseconds of work a second.
                     hint: optional(of, "costGuess", seconds)?,
                     group: optional(of, "teamId", integer)?,
                 };
@@ -184,7 +210,7 @@
                     _ => self.balancer.adopt(now, id, wanted, server_id(of)?),
                 };
                 self.calls.insert(id, call);
-                self.settle(wall, id);
+                self.remove_if_over(wall, id);
             }
             "FIRST_BYTE" => {
                 let leg = integer(of, "roundNo")? as usize;
@@ -208,66 +234,67 @@
             })?,
             "ATTEMPT_END" => {
                 let (leg, last) = (integer(of, "roundNo")? as usize, boolean(of, "last")?);
-                let ending = ending(text(of, "result")?)?;
+                let ending = parse_ending(text(of, "result")?)?;
                 self.with_call(wall, of, |call| {
                     call.ended(now, leg, ending, last);
                     Ok(())
                 })?;
             }
-            "TICK_DUE" => match self.door.fired(integer(of, "name")?) {
+            "TICK_DUE" => match self.actions.take_timer(integer(of, "name")?) {
                 Some(None) => self.balancer.woken(now),
                 Some(Some(id)) => {
                     if let Some(call) = self.calls.get(&id).cloned() {
                         call.woken(now);
-                        self.settle(wall, id);
+                        self.remove_if_over(wall, id);
                     }
                 }
                 None => {}
             },
-            // A call that is over with this is let go of when its timer for the probe fires.
-            "PROBE_RESULT" => self.balancer.probed(now, server_id(of)?, self.asked(of)?),
-            // Nothing is told to peers.
+            // A call that ends by this is removed when its probe timer fires.
+            "PROBE_RESULT" => self.balancer.probed(now, server_id(of)?, self.requested_load(of)?),
+            // Balancers send nothing to their peers.
             "FROM_PEER" => {}
             other => return Err(format!("unknown event '{other}'")),
         }
         Ok(())
     }
 
-    /// The load asked over the load possible, where a report came along.
-    fn asked(&self, of: &Value) -> ParseResult<Option<f64>> {
+    /// The ratio of requested load to capacity, where the event contains a load report.
+    fn requested_load(&self, of: &Value) -> ParseResult<Option<f64>> {
         let usage = optional(of, "usage", array)?;
-        Ok(self.asked_field.and_then(|at| usage?.get(at)?.as_f64()))
+        Ok(self.requested_load_field.and_then(|index| usage?.get(index)?.as_f64()))
     }
 
+    /// Applies an event to the call that it names, and removes the call if that ends it.
     fn with_call(
         &mut self,
         wall: f64,
         of: &Value,
-        tell: impl FnOnce(&Rc<Call>) -> ParseResult<()>,
+        apply: impl FnOnce(&Rc<Call>) -> ParseResult<()>,
     ) -> ParseResult<()> {
         let id = call_id(of)?;
         match self.calls.get(&id) {
-            Some(call) => tell(call)?,
-            None if self.echoes.iter().any(|(_, echo)| *echo == id) => return Ok(()),
+            Some(call) => apply(call)?,
+            None if self.ended_calls.iter().any(|(_, ended)| *ended == id) => return Ok(()),
             None => return Err("field 'txn' names an unknown call".into()),
         }
-        self.settle(wall, id);
+        self.remove_if_over(wall, id);
         Ok(())
     }
 
-    /// Lets go of a call that is over.
-    fn settle(&mut self, wall: f64, id: u64) {
+    /// Removes a call if it is over, and forgets calls that ended more than `LATE_EVENTS_MS` ago.
+    fn remove_if_over(&mut self, wall: f64, id: u64) {
         if self.calls.get(&id).is_some_and(|call| call.is_over()) {
             self.calls.remove(&id);
-            self.echoes.push_back((wall, id));
+            self.ended_calls.push_back((wall, id));
         }
-        while self.echoes.front().is_some_and(|(at, _)| wall - at > ECHO_MS) {
-            self.echoes.pop_front();
+        while self.ended_calls.front().is_some_and(|(at, _)| wall - at > LATE_EVENTS_MS) {
+            self.ended_calls.pop_front();
         }
     }
 }
 
-fn ending(name: &str) -> ParseResult<Ending> {
+fn parse_ending(name: &str) -> ParseResult<Ending> {
     Ok(match name {
         "OK" => Ending::Served,
         "INTERNAL" => Ending::Error,
--- a/crates/dewhead-wirehost/src/main.rs
+++ b/crates/dewhead-wirehost/src/main.rs
@@ -1,7 +1,7 @@
-//! The simulator's wire on standard input and output, for many balancers at once. It translates and decides
-//! nothing: each decoded field goes straight into a call on the module.
+//! Adapter between the simulator's wire, on standard input and output, and many balancers at once. It only translates: each
+//! decoded field is passed to a call on a balancer, and no decision is made here.
 
-mod door;
+mod actions;
 mod host;
 
 use std::io::{self, BufRead, Write};
@@ -29,6 +29,7 @@
     }
 }
 
+/// Prints an error and exits with status 1.
 fn fail(message: &str) -> ! {
     eprintln!("dewhead-wirehost: {message}");
     std::process::exit(1)
