--- a/crates/dewhead-proxy/src/guard.rs
+++ b/crates/dewhead-proxy/src/guard.rs
@@ -110,6 +110,7 @@
 /// What a client must still be sent before its connection is closed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PendingReply {
+    /// Nothing.
     Nothing,
     /// An answer: its request was read.
     Answer,
--- a/crates/dewhead-proxy/src/guard/cold_start.rs
+++ b/crates/dewhead-proxy/src/guard/cold_start.rs
@@ -13,7 +13,7 @@
 
 /// The limit for this deployment.
 pub struct ColdStartLimit {
-    terms: SlowStartSettings,
+    settings: SlowStartSettings,
     /// The most connections of this proxy that a unit of ready weight has carried in any location.
     max_connections_per_weight: f64,
     /// The most weight that was ready at the same time, over all locations.
@@ -23,6 +23,7 @@
 /// What this proxy holds at the servers of one location.
 #[derive(Clone, Copy, Debug)]
 pub struct LocationLoad {
+    /// Open connections to its servers.
     pub connections: usize,
     /// The sum of the weights of its ready servers.
     pub ready_weight: f64,
@@ -30,18 +31,18 @@
 
 impl ColdStartLimit {
     /// The limit by these settings, before anything was observed.
-    pub fn new(terms: SlowStartSettings) -> ColdStartLimit {
-        ColdStartLimit { terms, max_connections_per_weight: 0.0, max_ready_weight: 0.0 }
+    pub fn new(settings: SlowStartSettings) -> ColdStartLimit {
+        ColdStartLimit { settings, max_connections_per_weight: 0.0, max_ready_weight: 0.0 }
     }
 
     /// The length of the window, in seconds.
     pub fn window(&self) -> f64 {
-        self.terms.window
+        self.settings.window
     }
 
     /// Whether a server whose process is `age` seconds old is still cold.
     pub fn is_cold(&self, age: f64) -> bool {
-        age < self.terms.warm_after
+        age < self.settings.warm_after
     }
 
     /// Records what the servers of each location carry now.
@@ -56,16 +57,19 @@
 
     /// The most requests that all proxies together may send within a window to a server of this weight and age, in seconds.
     pub fn max_requests(&self, weight: f64, age: f64) -> f64 {
-        let terms = &self.terms;
+        let settings = &self.settings;
         let capacity_share =
-            terms.cold_share + (1.0 - terms.cold_share) * (age / terms.warm_after).clamp(0.0, 1.0);
-        let agreed_per_weight =
-            if self.max_ready_weight > 0.0 { terms.agreed_connections / self.max_ready_weight } else { 0.0 };
+            settings.cold_share + (1.0 - settings.cold_share) * (age / settings.warm_after).clamp(0.0, 1.0);
+        let agreed_per_weight = if self.max_ready_weight > 0.0 {
+            settings.agreed_connections / self.max_ready_weight
+        } else {
+            0.0
+        };
         // The connections that fill a warm server of this size, taken as what others of its size carry.
         let full_connections =
-            weight * agreed_per_weight.max(self.max_connections_per_weight * terms.proxies);
-        let allowed =
-            terms.max_capacity_multiple * terms.window * capacity_share * full_connections / terms.warm_after;
+            weight * agreed_per_weight.max(self.max_connections_per_weight * settings.proxies);
+        let allowed = settings.max_capacity_multiple * settings.window * capacity_share * full_connections
+            / settings.warm_after;
         let (root_multiple, margin) = if allowed < SMALL_COUNT { SMALL_COUNT_TOLERANCE } else { TOLERANCE };
         allowed + root_multiple * allowed.sqrt() + margin
     }
--- a/crates/dewhead-proxy/src/state/buffered_socket.rs
+++ b/crates/dewhead-proxy/src/state/buffered_socket.rs
@@ -9,6 +9,7 @@
 
 /// A TCP socket and the bytes that wait to be written to it.
 pub struct BufferedSocket {
+    /// The socket itself, for reading and for the poll.
     pub socket: TcpStream,
     /// Bytes to write; the first `written` of them are written already.
     pending: Vec<u8>,
--- a/crates/dewhead-proxy/src/state/servers.rs
+++ b/crates/dewhead-proxy/src/state/servers.rs
@@ -10,10 +10,13 @@
 pub struct ServerRecord {
     /// Where to connect; a server that is gone may have none.
     pub dial: Option<SocketAddr>,
+    /// Its state in the list.
     pub state: State,
     /// Index of the zone.
     pub zone: usize,
+    /// Number of the cell within the zone.
     pub cell: u64,
+    /// Its weight in the list.
     pub weight: f64,
     /// When requests were sent within the last slow-start window, in seconds; filled only while the server is in slow start.
     pub recent_sends: VecDeque<f64>,
@@ -21,6 +24,7 @@
     pub started: Option<f64>,
     /// The same by the wall clock, as discovery reported it.
     pub started_by_wall_clock: Option<f64>,
+    /// Statistics of its set-up times.
     pub set_up_latency: SetUpLatency,
     /// How long a message takes here, estimated from lines and from set-ups, and when each estimate was made; in seconds.
     pub message_delays: [(f64, f64); 2],
--- a/crates/dewhead-proxy/src/state/sessions.rs
+++ b/crates/dewhead-proxy/src/state/sessions.rs
@@ -30,6 +30,7 @@
 pub struct Session {
     /// The slot and a serial number, which tells this session from earlier ones in the same slot.
     pub id: u64,
+    /// Its state.
     pub stage: SessionStage,
     /// The id that the client gave its request, while the request is open.
     pub request_id: Option<u64>,
@@ -43,6 +44,7 @@
     pub wait_range: Range<usize>,
     /// Index of the traffic type.
     pub traffic: usize,
+    /// The balancer's call; none before it was taken, and while the connection is being restored.
     pub call: Option<Rc<Call>>,
     /// Open legs: the leg's number in the call, and its slot.
     pub legs: Vec<(usize, usize)>,
@@ -103,6 +105,7 @@
 pub enum LegStage {
     /// Not connecting yet: this machine was out of descriptors, memory or local ports for a moment.
     Queued,
+    /// The connection is not established yet.
     Connecting,
     /// The last byte of the first line is written.
     AwaitingAnswer,
@@ -122,6 +125,7 @@
     pub server: u64,
     /// The address that it was dialled at.
     pub address: SocketAddr,
+    /// Its state.
     pub stage: LegStage,
     /// The server's answer until its first line is complete; freed once the call is established.
     pub answer: Vec<u8>,
@@ -131,6 +135,7 @@
     pub answer_by: f64,
     /// When the last byte of the first line was written, in seconds.
     pub head_sent_at: f64,
+    /// The timer for `connect_by`, `answer_by` or the next connection attempt.
     pub timer: Option<Timer>,
     /// How the connection will end, as announced by the server's last line: served, or sent away by `MOVE`.
     pub announced_ending: Option<Ending>,
--- a/crates/dewhead-proxy/src/wire/server_list.rs
+++ b/crates/dewhead-proxy/src/wire/server_list.rs
@@ -32,9 +32,11 @@
 
 /// One parsed version of the list.
 pub struct ListVersion {
+    /// The version number.
     pub number: u64,
     /// Whether it is the full list, not a change.
     pub whole: bool,
+    /// The entries that it contains.
     pub entries: Vec<Entry>,
     /// The host name and the text of each entry, in the same order.
     pub raw_entries: Vec<(String, Box<str>)>,
--- a/crates/dewhead-startup/src/lib.rs
+++ b/crates/dewhead-startup/src/lib.rs
@@ -15,8 +15,11 @@
 
 /// The names that calls and servers refer to. The balancer knows them by their index here.
 pub struct KnownNames {
+    /// Zones.
     pub zones: Vec<String>,
+    /// Traffic types.
     pub traffic_types: Vec<String>,
+    /// Tenants.
     pub tenants: Vec<String>,
 }
 
@@ -41,6 +44,7 @@
 
 /// The parsed settings; `into_balancer` builds the balancer from them.
 pub struct Startup {
+    /// The names that the settings define.
     pub names: KnownNames,
     /// Index within a load report of the ratio of requested load to capacity, if servers report it.
     pub requested_load_field: Option<usize>,
