--- a/crates/dewhead-proxy/src/lifecycle/configuration.rs
+++ b/crates/dewhead-proxy/src/lifecycle/configuration.rs
@@ -2,8 +2,8 @@
 
 use crate::transient::retry_transient;
 use crate::wire::server_list::parse_list;
-use dewhead_startup::fields::{field, maybe, text, whole, wrong, Outcome};
-use dewhead_startup::{shape, Startup};
+use dewhead_startup::fields::{field, integer, invalid, optional, text, ParseResult};
+use dewhead_startup::{validation, Startup};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
@@ -99,8 +99,8 @@
     /// # Errors
     ///
     /// One line that names the faulty key.
-    pub fn from_json(json: &Value) -> Outcome<Configuration> {
-        let settings = |of| shape::check(of).and_then(|warnings| Ok((Startup::read(of)?, warnings)));
+    pub fn from_json(json: &Value) -> ParseResult<Configuration> {
+        let settings = |of| validation::validate(of).and_then(|warnings| Ok((Startup::parse(of)?, warnings)));
         let (startup, warnings) = field(json, "settings").and_then(settings).map_err(|e| {
             if json["settings"].is_null() {
                 e
@@ -109,11 +109,11 @@
             }
         })?;
         let (mut max_descriptors, mut memory) = (DEFAULT_MAX_DESCRIPTORS, None);
-        if let Some(limits) = maybe(json, "limits", field)? {
+        if let Some(limits) = optional(json, "limits", field)? {
             let in_limits = |e| format!("limits: {e}");
             max_descriptors =
-                maybe(limits, "sockets", whole).map_err(in_limits)?.unwrap_or(DEFAULT_MAX_DESCRIPTORS);
-            memory = maybe(limits, "memory_mb", whole).map_err(in_limits)?;
+                optional(limits, "sockets", integer).map_err(in_limits)?.unwrap_or(DEFAULT_MAX_DESCRIPTORS);
+            memory = optional(limits, "memory_mb", integer).map_err(in_limits)?;
         }
         if let Some(memory) = memory {
             let connections = memory.saturating_mul(1 << 20).saturating_sub(RESERVED_MEMORY_BYTES)
@@ -126,13 +126,13 @@
             );
         }
         let seed = text(json, "seed")?;
-        let seed = u64::from_str_radix(seed, 16).map_err(|_| wrong("seed", "hex digits"))?;
+        let seed = u64::from_str_radix(seed, 16).map_err(|_| invalid("seed", "hex digits"))?;
         let last_known_list = json.get("known").cloned().unwrap_or_default();
         if !last_known_list.is_null() {
-            parse_list(&last_known_list, &startup.known.zones).map_err(|e| format!("known: {e}"))?;
+            parse_list(&last_known_list, &startup.names.zones).map_err(|e| format!("known: {e}"))?;
         }
         Ok(Configuration {
-            name: maybe(json, "name", text)?.unwrap_or("dewhead").to_owned(),
+            name: optional(json, "name", text)?.unwrap_or("dewhead").to_owned(),
             listen: address(json, "listen")?,
             discovery: address(json, "discovery")?,
             seed: u128::from(seed),
@@ -140,12 +140,12 @@
             last_known_list,
             startup,
             warnings,
-            control_socket: maybe(json, "control", text)?.map(PathBuf::from),
+            control_socket: optional(json, "control", text)?.map(PathBuf::from),
             restart_only: RestartOnlySettings::extract(json),
         })
     }
 }
 
-fn address(json: &Value, name: &str) -> Outcome<SocketAddr> {
-    text(json, name)?.parse().map_err(|_| wrong(name, "an address with a port"))
+fn address(json: &Value, name: &str) -> ParseResult<SocketAddr> {
+    text(json, name)?.parse().map_err(|_| invalid(name, "an address with a port"))
 }
--- a/crates/dewhead-proxy/src/lifecycle/mod.rs
+++ b/crates/dewhead-proxy/src/lifecycle/mod.rs
@@ -67,7 +67,7 @@
     let newest_list = handed_over.as_ref().map_or(&last_known_list, |h| &h.list);
     // A list from another build is validated like any other input.
     let newest_list =
-        if parse_list(newest_list, &startup.known.zones).is_ok() { newest_list } else { &last_known_list };
+        if parse_list(newest_list, &startup.names.zones).is_ok() { newest_list } else { &last_known_list };
     let mut reducer = Reducer::new(clock.now(), startup, seed, discovery, max_descriptors, newest_list);
     if let Some(handed_over) = &handed_over {
         reducer.import_state(clock.now(), handed_over);
--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -25,7 +25,7 @@
 use balancer_requests::{BalancerRequest, RequestQueue};
 use dewhead::state::Balancer;
 use dewhead::types::{LegOutcome, TrafficType};
-use dewhead_startup::{Known, Startup};
+use dewhead_startup::{KnownNames, Startup};
 use log::{debug, info, warn};
 use oorandom::Rand64;
 use serde_json::Value;
@@ -175,7 +175,7 @@
 pub struct Reducer {
     balancer: Rc<Balancer>,
     requests: Rc<RequestQueue>,
-    known_names: Known,
+    known_names: KnownNames,
     groups_enabled: bool,
     connect_timeout: f64,
     longest_guard_time: f64,
@@ -237,14 +237,14 @@
         remembered: &Value,
     ) -> Reducer {
         let requests = Rc::new(RequestQueue::default());
-        let (groups_enabled, must_ask) = (startup.groups, startup.must_ask);
-        let (connect_timeout, longest_guard_time) = (startup.connect_limit, startup.longest_guard);
-        let slow_message_threshold = startup.shortest_message / 3.0;
+        let (groups_enabled, must_ask) = (startup.groups, startup.must_subscribe);
+        let (connect_timeout, longest_guard_time) = (startup.connect_timeout, startup.longest_guard_time);
+        let slow_message_threshold = startup.shortest_message_target / 3.0;
         let slow_setup_unit = longest_guard_time / 30.0;
-        let setup_baselines = TypeMeans::new(startup.known.traffic.len());
-        let (traffic_types, parallel_attempts) = (startup.traffic().to_vec(), startup.two_at_once());
+        let setup_baselines = TypeMeans::new(startup.names.traffic_types.len());
+        let (traffic_types, parallel_attempts) = (startup.traffic_types().to_vec(), startup.two_at_once());
         let slow_start = startup.slow_start();
-        let (balancer, known_names) = startup.balancer(seed, requests.clone());
+        let (balancer, known_names) = startup.into_balancer(seed, requests.clone());
         let mut reducer = Reducer {
             balancer,
             requests,
--- a/crates/dewhead-proxy/src/reducer/status.rs
+++ b/crates/dewhead-proxy/src/reducer/status.rs
@@ -88,7 +88,7 @@
         let entry = |(key, session): (usize, &crate::state::sessions::Session)| {
             let server = session.legs.first().and_then(|(_, leg)| self.legs.get(*leg)).map(|leg| leg.server);
             json!({"slot": key, "stage": stage_name(session.stage), "server": server, "legs": session.legs_sent,
-                   "traffic": self.known_names.traffic.get(session.traffic)})
+                   "traffic": self.known_names.traffic_types.get(session.traffic)})
         };
         let listed: Vec<Value> = self.sessions.iter().take(MAX_LISTED_CONNECTIONS).map(entry).collect();
         json!({"sessions": self.sessions.len(), "told": listed.len(), "connections": listed})
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -7,7 +7,7 @@
 use crate::wire::http::{WatchResponse, LINE_TOO_LONG, STATUS_NOT_OK};
 use crate::wire::server_list::ListVersion;
 use dewhead::types::{LegOutcome, ListUpdate, ServerState};
-use dewhead_startup::fields::Outcome;
+use dewhead_startup::fields::ParseResult;
 use log::{debug, warn};
 use std::net::SocketAddr;
 
@@ -147,7 +147,12 @@
     }
 
     /// Applies a version of the list. Returns false where it is invalid; the current list is then kept.
-    pub(super) fn apply_list(&mut self, now: f64, parsed: Outcome<ListVersion>, remembered: bool) -> bool {
+    pub(super) fn apply_list(
+        &mut self,
+        now: f64,
+        parsed: ParseResult<ListVersion>,
+        remembered: bool,
+    ) -> bool {
         let mut update = match parsed {
             Ok(list) => list,
             Err(fault) => {
