--- a/crates/dewhead/tests/common/mod.rs
+++ b/crates/dewhead/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A door that keeps book of what a balancer does and fails the moment a rule is broken.
+//! A host that records what a balancer does and panics as soon as one of the rules 1 to 3 is broken, and a fixture of a
+//! balancer with that host.
 
 use dewhead::host_interface::BalancerHost;
 use dewhead::state::{Balancer, Call, LegPolicy, ListSubscription, Locality, SlowStart, TenantShares};
@@ -10,125 +11,143 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-pub struct Sent {
+/// A leg that the balancer has sent.
+pub struct SentLeg {
     pub server: u64,
-    pub at: f64,
-    pub until: f64,
-    pub ended: Option<LegOutcome>,
+    pub sent_at: f64,
+    pub times_out_at: f64,
+    /// `None` while the leg is active.
+    pub outcome: Option<LegOutcome>,
 }
 
-pub struct Book {
-    pub effect: Idempotency,
-    pub window: f64,
-    pub until: f64,
+/// What has happened to one call.
+pub struct CallRecord {
+    pub idempotency: Idempotency,
+    pub repeat_window: f64,
+    pub deadline: f64,
+    /// The number of final answers.
     pub answers: u32,
-    pub standing: bool,
-    pub sent: Vec<Sent>,
+    pub established: bool,
+    pub legs: Vec<SentLeg>,
 }
 
-impl Book {
-    fn may_have_run(&self) -> Option<&Sent> {
-        self.sent.iter().find(|s| s.ended.is_none_or(LegOutcome::may_have_run))
+impl CallRecord {
+    /// The first leg that may have run the call.
+    fn may_have_run(&self) -> Option<&SentLeg> {
+        self.legs.iter().find(|l| l.outcome.is_none_or(LegOutcome::may_have_run))
     }
 }
 
+/// Records the balancer's requests and checks them against the rules 1 to 3.
 #[derive(Default)]
-pub struct Watcher {
+pub struct CheckingHost {
     pub now: Cell<f64>,
-    pub most: Cell<u32>,
+    pub max_legs: Cell<u32>,
     pub two_at_once: Cell<bool>,
-    pub books: RefCell<BTreeMap<u64, Book>>,
+    /// All calls by id.
+    pub records: RefCell<BTreeMap<u64, CallRecord>>,
     pub listed: RefCell<BTreeMap<u64, ServerEntry>>,
-    pub moved: RefCell<Vec<u64>>,
-    pub wakes: RefCell<Vec<(f64, Option<u64>)>>,
-    pub asked: Cell<u32>,
-    pub probed: RefCell<Vec<u64>>,
+    /// Calls whose connection the balancer has relocated.
+    pub relocated: RefCell<Vec<u64>>,
+    /// Requested timers: when they are due, and the call; `None` for the balancer's own.
+    pub timers: RefCell<Vec<(f64, Option<u64>)>>,
+    /// The number of requests for the list of servers.
+    pub list_requests: Cell<u32>,
+    pub probed_servers: RefCell<Vec<u64>>,
 }
 
-impl BalancerHost for Watcher {
+impl BalancerHost for CheckingHost {
     fn send_leg(&self, call: u64, server: u64, limit: f64) {
         let now = self.now.get();
-        let mut books = self.books.borrow_mut();
-        let book = books.get_mut(&call).expect("a call that was taken");
+        let mut records = self.records.borrow_mut();
+        let record = records.get_mut(&call).expect("the call has been accepted");
         let listed = self.listed.borrow();
-        let to = &listed[&server];
-        assert!(book.answers == 0 && !book.standing, "rule 1: a leg after the answer");
-        assert!(now < book.until && limit > 0.0, "rule 1: a leg after the guard time");
-        assert!((book.sent.len() as u32) < self.most.get(), "too many legs");
-        let out = book.sent.iter().filter(|s| s.ended.is_none()).count();
-        assert!(out == 0 || (out == 1 && self.two_at_once.get()), "rule 2: two legs at once");
-        if let Some(ran) = book.may_have_run() {
-            let from = &listed[&ran.server];
-            match book.effect {
+        let target = &listed[&server];
+        assert!(record.answers == 0 && !record.established, "rule 1: a leg after the answer");
+        assert!(now < record.deadline && limit > 0.0, "rule 1: a leg after the guard time");
+        assert!((record.legs.len() as u32) < self.max_legs.get(), "too many legs");
+        let active = record.legs.iter().filter(|l| l.outcome.is_none()).count();
+        assert!(active == 0 || (active == 1 && self.two_at_once.get()), "rule 2: two legs at once");
+        if let Some(earlier) = record.may_have_run() {
+            let first_target = &listed[&earlier.server];
+            match record.idempotency {
                 Idempotency::Repeatable => {}
-                Idempotency::OnceOnly => panic!("rule 2: a once-only call sent again"),
-                Idempotency::Referenced(group) => {
-                    assert!(now - ran.at < book.window, "rule 2: sent again after the window");
-                    let same = group == RepeatScope::All
-                        || from.zone == to.zone && (group == RepeatScope::Zone || from.cell == to.cell);
-                    assert!(same, "rule 2: sent again outside the group");
+                Idempotency::OnceOnly => panic!("rule 2: a once-only call was sent again"),
+                Idempotency::Referenced(scope) => {
+                    assert!(
+                        now - earlier.sent_at < record.repeat_window,
+                        "rule 2: sent again after the repeat window"
+                    );
+                    let in_scope = scope == RepeatScope::All
+                        || first_target.zone == target.zone
+                            && (scope == RepeatScope::Zone || first_target.cell == target.cell);
+                    assert!(in_scope, "rule 2: sent again outside the repeat scope");
                 }
             }
         }
-        assert_eq!(to.state, ServerState::Ready, "rule 3: sent to a server that drains or is gone");
-        book.sent.push(Sent { server, at: now, until: now + limit, ended: None });
+        assert_eq!(target.state, ServerState::Ready, "rule 3: sent to a server that is draining or gone");
+        record.legs.push(SentLeg { server, sent_at: now, times_out_at: now + limit, outcome: None });
     }
 
     fn reject(&self, call: u64, _: Option<f64>) {
-        let mut books = self.books.borrow_mut();
-        let book = books.get_mut(&call).expect("a call that was taken");
-        book.answers += 1;
+        let mut records = self.records.borrow_mut();
+        let record = records.get_mut(&call).expect("the call has been accepted");
+        record.answers += 1;
         let harmless =
-            matches!(book.effect, Idempotency::Repeatable | Idempotency::Referenced(RepeatScope::All));
-        assert!(harmless || book.may_have_run().is_none(), "rule 2: a reject after it may have run");
-        assert_eq!(book.answers, 1, "rule 1: two answers");
+            matches!(record.idempotency, Idempotency::Repeatable | Idempotency::Referenced(RepeatScope::All));
+        assert!(
+            harmless || record.may_have_run().is_none(),
+            "rule 2: rejected although the call may have run"
+        );
+        assert_eq!(record.answers, 1, "rule 1: two answers");
     }
 
     fn release(&self, call: u64) {
-        let mut books = self.books.borrow_mut();
-        let book = books.get_mut(&call).expect("a call that was taken");
-        book.answers += 1;
-        assert_eq!(book.answers, 1, "rule 1: two answers");
+        let mut records = self.records.borrow_mut();
+        let record = records.get_mut(&call).expect("the call has been accepted");
+        record.answers += 1;
+        assert_eq!(record.answers, 1, "rule 1: two answers");
     }
 
     fn cancel_leg(&self, _: u64, _: u32) {}
 
     fn relocate(&self, call: u64) {
-        self.moved.borrow_mut().push(call);
+        self.relocated.borrow_mut().push(call);
     }
 
     fn set_call_timer(&self, call: u64, at: f64) {
-        self.wakes.borrow_mut().push((at, Some(call)));
+        self.timers.borrow_mut().push((at, Some(call)));
     }
 
     fn set_timer(&self, at: f64) {
-        self.wakes.borrow_mut().push((at, None));
+        self.timers.borrow_mut().push((at, None));
     }
 
     fn subscribe_to_list(&self) {
-        self.asked.set(self.asked.get() + 1);
+        self.list_requests.set(self.list_requests.get() + 1);
     }
 
     fn probe(&self, server: u64) -> bool {
-        self.probed.borrow_mut().push(server);
+        self.probed_servers.borrow_mut().push(server);
         true
     }
 
     fn log(&self, _: &str) {}
 }
 
-/// A balancer, its watcher and the handles of its calls.
-pub struct Stand {
-    pub watcher: Rc<Watcher>,
+/// A balancer, its host and the handles of its calls.
+pub struct Fixture {
+    pub host: Rc<CheckingHost>,
     pub balancer: Rc<Balancer>,
     pub calls: BTreeMap<u64, Rc<Call>>,
-    pub traffic: Vec<TrafficType>,
-    next: u64,
+    pub traffic_types: Vec<TrafficType>,
+    last_call_id: u64,
 }
 
-pub fn traffic(effect: Idempotency) -> TrafficType {
+/// A traffic type with a guard time of 3 s.
+pub fn traffic_type(idempotency: Idempotency) -> TrafficType {
     TrafficType {
-        idempotency: effect,
+        idempotency,
         repeat_window: 2.0,
         setup_target: 0.5,
         message_target: 0.1,
@@ -137,132 +156,166 @@
     }
 }
 
-pub fn server(id: u64, zone: usize, weight: f64) -> ServerEntry {
+/// A ready server that started long ago.
+pub fn ready_server(id: u64, zone: usize, weight: f64) -> ServerEntry {
     ServerEntry { id, zone, cell: id % 2, state: ServerState::Ready, weight, started: None }
 }
 
-impl Stand {
-    /// `price` is that of crossing zones.
-    pub fn new(seed: u64, legs: LegPolicy, price: f64, ask: bool, traffic: Vec<TrafficType>) -> Stand {
-        Stand::under(seed, legs, price, ask, traffic, (false, false))
+impl Fixture {
+    /// A fixture whose weights don't follow load and which has no probes. `crossing_price` is the price of crossing
+    /// zones; `must_subscribe` says that the list is sent only on request.
+    pub fn new(
+        seed: u64,
+        leg_policy: LegPolicy,
+        crossing_price: f64,
+        must_subscribe: bool,
+        traffic_types: Vec<TrafficType>,
+    ) -> Fixture {
+        Fixture::with_load_sources(
+            seed,
+            leg_policy,
+            crossing_price,
+            must_subscribe,
+            traffic_types,
+            (false, false),
+        )
     }
 
-    /// Whether the list's weights move with load, and whether probes bring reports.
-    pub fn under(
+    /// `load_sources` says whether the list's weights follow load, and whether probes bring load reports.
+    pub fn with_load_sources(
         seed: u64,
-        legs: LegPolicy,
-        price: f64,
-        ask: bool,
-        traffic: Vec<TrafficType>,
-        told: (bool, bool),
-    ) -> Stand {
-        Stand::of(vec![40.0; 2], seed, legs, price, ask, traffic, told)
+        leg_policy: LegPolicy,
+        crossing_price: f64,
+        must_subscribe: bool,
+        traffic_types: Vec<TrafficType>,
+        load_sources: (bool, bool),
+    ) -> Fixture {
+        Fixture::with_quotas(
+            vec![40.0; 2],
+            seed,
+            leg_policy,
+            crossing_price,
+            must_subscribe,
+            traffic_types,
+            load_sources,
+        )
     }
 
-    /// The same, where so many shops may have so many connections standing each; none where nothing was agreed on.
-    pub fn of(
-        agreed: Vec<f64>,
+    /// The same with a quota of connections for each tenant; 0 if none is configured.
+    pub fn with_quotas(
+        quotas: Vec<f64>,
         seed: u64,
-        legs: LegPolicy,
-        price: f64,
-        ask: bool,
-        traffic: Vec<TrafficType>,
-        (live, probes): (bool, bool),
-    ) -> Stand {
-        let watcher = Rc::new(Watcher::default());
-        watcher.most.set(legs.max_legs);
-        watcher.two_at_once.set(legs.two_at_once);
-        watcher.now.set(100.0);
-        let shops =
-            agreed.into_iter().map(|standing| Tenant { share: 0.5, quota_connections: standing }).collect();
+        leg_policy: LegPolicy,
+        crossing_price: f64,
+        must_subscribe: bool,
+        traffic_types: Vec<TrafficType>,
+        (weights_follow_load, has_probes): (bool, bool),
+    ) -> Fixture {
+        let host = Rc::new(CheckingHost::default());
+        host.max_legs.set(leg_policy.max_legs);
+        host.two_at_once.set(leg_policy.two_at_once);
+        host.now.set(100.0);
+        let tenants =
+            quotas.into_iter().map(|quota| Tenant { share: 0.5, quota_connections: quota }).collect();
         let slow_start = SlowStart { cold_share: 0.25, warm_after: 8.0, overload_multiple: 3.0, window: 2.0 };
         let balancer = Balancer::new(
             u128::from(seed),
-            watcher.clone(),
+            host.clone(),
             seed as usize,
             4,
-            traffic.clone(),
-            TenantShares::new(shops, 0.1),
-            ListSubscription::new(ask, 10.0),
-            Locality::new(0, price, 0.01),
+            traffic_types.clone(),
+            TenantShares::new(tenants, 0.1),
+            ListSubscription::new(must_subscribe, 10.0),
+            Locality::new(0, crossing_price, 0.01),
             3,
             slow_start,
-            legs,
+            leg_policy,
             1.0,
-            live,
-            probes,
+            weights_follow_load,
+            has_probes,
         );
         balancer.start(100.0);
-        Stand { watcher, balancer, calls: BTreeMap::new(), traffic, next: 0 }
+        Fixture { host, balancer, calls: BTreeMap::new(), traffic_types, last_call_id: 0 }
     }
 
-    /// One leg at a time, one zone's worth of repeatable traffic.
-    pub fn plain() -> Stand {
-        let legs =
+    /// One leg at a time, repeatable traffic, and no price for crossing zones.
+    pub fn with_defaults() -> Fixture {
+        let leg_policy =
             LegPolicy { max_legs: 3, two_at_once: false, may_cancel: true, max_retry_after: Some(1.0) };
-        Stand::new(7, legs, 0.0, false, vec![traffic(Idempotency::Repeatable)])
+        Fixture::new(7, leg_policy, 0.0, false, vec![traffic_type(Idempotency::Repeatable)])
     }
 
     pub fn now(&self) -> f64 {
-        self.watcher.now.get()
+        self.host.now.get()
     }
 
-    pub fn list(&self, news: ListUpdate, entries: &[ServerEntry]) {
-        let mut listed = self.watcher.listed.borrow_mut();
-        if matches!(news, ListUpdate::Full | ListUpdate::Cached) {
+    /// Applies an update of the list of servers, at the host and at the balancer.
+    pub fn update_list(&self, update: ListUpdate, entries: &[ServerEntry]) {
+        let mut listed = self.host.listed.borrow_mut();
+        if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
             listed.values_mut().for_each(|l| l.state = ServerState::Gone);
         }
         listed.extend(entries.iter().map(|e| (e.id, e.clone())));
         drop(listed);
-        self.balancer.on_list_update(self.now(), news, entries);
+        self.balancer.on_list_update(self.now(), update, entries);
     }
 
-    pub fn take(&mut self, kind: usize, hint: Option<f64>, group: Option<u64>) -> u64 {
-        self.next += 1;
-        let (id, now, t) = (self.next, self.now(), &self.traffic[kind]);
-        let (effect, window, until) = (t.idempotency, t.repeat_window, now + t.guard_time);
-        let book = Book { effect, window, until, answers: 0, standing: false, sent: Vec::new() };
-        self.watcher.books.borrow_mut().insert(id, book);
-        let shop = Some(id as usize % 2);
-        let wanted =
-            CallRequest { traffic_type: kind, tenant: shop, deadline: until, load_hint: hint, group };
-        let call = self.balancer.accept_call(now, id, wanted);
+    /// Passes a new call to the balancer and returns its id. Calls belong to the two tenants in turn.
+    pub fn accept_call(&mut self, type_index: usize, load_hint: Option<f64>, group: Option<u64>) -> u64 {
+        self.last_call_id += 1;
+        let (id, now, traffic_type) = (self.last_call_id, self.now(), &self.traffic_types[type_index]);
+        let (idempotency, repeat_window, deadline) =
+            (traffic_type.idempotency, traffic_type.repeat_window, now + traffic_type.guard_time);
+        let record = CallRecord {
+            idempotency,
+            repeat_window,
+            deadline,
+            answers: 0,
+            established: false,
+            legs: Vec::new(),
+        };
+        self.host.records.borrow_mut().insert(id, record);
+        let tenant = Some(id as usize % 2);
+        let request = CallRequest { traffic_type: type_index, tenant, deadline, load_hint, group };
+        let call = self.balancer.accept_call(now, id, request);
         self.calls.insert(id, call);
         id
     }
 
-    /// Where the call's last leg went.
-    pub fn at(&self, id: u64) -> Option<u64> {
-        self.watcher.books.borrow()[&id].sent.last().map(|s| s.server)
+    /// The server that the call's last leg was sent to.
+    pub fn last_server(&self, id: u64) -> Option<u64> {
+        self.host.records.borrow()[&id].legs.last().map(|l| l.server)
     }
 
-    pub fn waits_on(&self, id: u64, leg: usize) -> bool {
-        let book = &self.watcher.books.borrow()[&id];
-        leg + 1 == book.sent.len() && book.answers == 0
+    /// Whether the call has no answer yet and `leg` is its last leg.
+    pub fn awaits_leg(&self, id: u64, leg: usize) -> bool {
+        let record = &self.host.records.borrow()[&id];
+        leg + 1 == record.legs.len() && record.answers == 0
     }
 
+    /// Establishes the connection on the call's last leg.
     pub fn establish(&self, id: u64) {
-        let leg = self.watcher.books.borrow()[&id].sent.len() - 1;
-        self.watcher.books.borrow_mut().get_mut(&id).unwrap().standing = true;
+        let leg = self.host.records.borrow()[&id].legs.len() - 1;
+        self.host.records.borrow_mut().get_mut(&id).unwrap().established = true;
         self.calls[&id].on_established(self.now(), leg);
     }
 
-    /// Ends a leg that is out; the wire's `last` follows from the call's state.
-    pub fn end(&self, id: u64, leg: usize, ending: LegOutcome) {
-        let mut books = self.watcher.books.borrow_mut();
-        let book = books.get_mut(&id).unwrap();
-        book.sent[leg].ended = Some(ending);
-        let last = book.standing || book.answers > 0;
-        book.answers += u32::from(book.standing && book.answers == 0);
-        drop(books);
-        self.calls[&id].on_leg_ended(self.now(), leg, ending, last);
+    /// Ends an active leg. Whether the call has ended with it follows from the call's record.
+    pub fn end_leg(&self, id: u64, leg: usize, outcome: LegOutcome) {
+        let mut records = self.host.records.borrow_mut();
+        let record = records.get_mut(&id).unwrap();
+        record.legs[leg].outcome = Some(outcome);
+        let is_last = record.established || record.answers > 0;
+        record.answers += u32::from(record.established && record.answers == 0);
+        drop(records);
+        self.calls[&id].on_leg_ended(self.now(), leg, outcome, is_last);
     }
 
-    /// A call that stands with this load; where it stands.
-    pub fn standing(&mut self, load: f64) -> (u64, u64) {
-        let id = self.take(0, Some(load), None);
-        let at = self.at(id).expect("there is room");
+    /// Establishes the connection of a new call with this load. Returns the call and its server.
+    pub fn connect(&mut self, load: f64) -> (u64, u64) {
+        let id = self.accept_call(0, Some(load), None);
+        let server = self.last_server(id).expect("there is room");
         self.establish(id);
-        (id, at)
+        (id, server)
     }
 }
