--- a/crates/dewhead-proxy/tests/clock.rs
+++ b/crates/dewhead-proxy/tests/clock.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::loopback::{entry, faults, Place, Proxy};
-use common::{list, settings};
+use common::{server_list, settings};
 use dewhead_faults::plan::{ClockStep, Plan};
 use dewhead_proxy::state::start_times::WallClock;
 use serde_json::json;
@@ -34,7 +34,7 @@
     let shown = if started >= from { started + by } else { started };
     let mut fresh = entry("s-2", server.at, "ready");
     fresh["born_ms"] = json!((shown * 1e3).round());
-    writeln!(watch, "{}", list(3, false, vec![fresh])).expect("the watch is open");
+    writeln!(watch, "{}", server_list(3, false, vec![fresh])).expect("the watch is open");
     loop {
         let line = common::loopback::line(&mut proxy.log);
         if let Some((_, age)) =
--- a/crates/dewhead-proxy/tests/common/loopback.rs
+++ b/crates/dewhead-proxy/tests/common/loopback.rs
@@ -1,7 +1,7 @@
 //! A real proxy, a discovery and servers over loopback, whose steps a test takes one by one: what must come first is seen
 //! to have come before the next is done.
 
-use super::{list, ZONES};
+use super::{server_list, ZONES};
 use dewhead_faults::plan::{self, Plan};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -77,7 +77,7 @@
             let config =
                 std::env::temp_dir().join(format!("dewhead-ends-{}-{made}.json", std::process::id()));
             let told = json!({"name": "p", "listen": at.to_string(), "discovery": discovery.to_string(),
-                              "control": config.with_extension("control"), "seed": "7", "known": list(1, true, known.clone()), "settings": settings,
+                              "control": config.with_extension("control"), "seed": "7", "known": server_list(1, true, known.clone()), "settings": settings,
                               "limits": {"sockets": 256}});
             std::fs::write(&config, told.to_string()).unwrap();
             let mut command = Command::new(env!("CARGO_BIN_EXE_dewhead"));
@@ -250,7 +250,7 @@
         assert!(asked.starts_with("GET /v1/servers?follow=1&since="), "{asked}");
         while line(&mut watch) != "\r\n" {}
         let mut watch = watch.into_inner();
-        write!(watch, "HTTP/1.1 200 OK\r\n\r\n{}\n", list(seq, whole, hosts)).unwrap();
+        write!(watch, "HTTP/1.1 200 OK\r\n\r\n{}\n", server_list(seq, whole, hosts)).unwrap();
         watch
     }
 }
--- a/crates/dewhead-proxy/tests/common/mod.rs
+++ b/crates/dewhead-proxy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A stand for the reducer without sockets: it plays the loop's part, keeps book of what each end was told, and fails
-//! the moment the reducer touches an end that is closed or says more than one last word.
+//! A test harness that drives the reducer without sockets, in place of the event loop. It records what each connection
+//! was sent, and panics as soon as the reducer uses a connection that is closed or writes after shutting it down.
 
 #![allow(dead_code)]
 
@@ -12,17 +12,19 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+/// The zones of the settings.
 pub const ZONES: [&str; 2] = ["east", "west"];
 
-/// Three traffic types, one of each effect; two shops.
+/// Settings with three traffic types, one of each idempotency, and two tenants.
 pub fn settings() -> Value {
-    let kind = |name: &str, effect: &str, guard: f64| {
-        json!({"name": name, "idempotency": effect, "keyScope": "cell", "repeatWindow": 2000.0, "setupTarget": 300.0,
-               "guardTime": guard, "revenue": 1.0})
+    let traffic_type = |name: &str, idempotency: &str, guard_time_ms: f64| {
+        json!({"name": name, "idempotency": idempotency, "keyScope": "cell", "repeatWindow": 2000.0, "setupTarget": 300.0,
+               "guardTime": guard_time_ms, "revenue": 1.0})
     };
     json!({
         "azs": ZONES, "locality": "east", "position": 0, "siblings": 2, "membershipMode": "automatic",
-        "trafficTypes": [kind("feed", "retryable", 2000.0), kind("order", "fragile", 1500.0), kind("note", "dedup", 1500.0)],
+        "trafficTypes": [traffic_type("feed", "retryable", 2000.0), traffic_type("order", "fragile", 1500.0),
+                         traffic_type("note", "dedup", 1500.0)],
         "tenants": [{"name": "shop-a", "share": 0.5}, {"name": "shop-b", "share": 0.5}],
         "deductions": {"crossZone": 0.0, "moves": 0.01},
         "feedback": {"how": "off", "fields": []},
@@ -33,234 +35,269 @@
     })
 }
 
-pub fn host(n: usize, health: &str) -> Value {
+/// The entry of server `n` in the server list; it listens on port 9000 + `n`.
+pub fn host_entry(n: usize, health: &str) -> Value {
     json!({"host": format!("s-{n}"), "dial": format!("127.0.0.1:{}", 9000 + n), "site": ZONES[n % 2], "class": "m",
            "block": n / 2, "health": health, "share": 1.0, "born_ms": 0})
 }
 
-pub fn list(seq: u64, whole: bool, hosts: Vec<Value>) -> Value {
-    json!({"seq": seq, "whole": whole, "hosts": hosts})
+/// A version of the server list as discovery sends it: a whole list, or only the entries that changed.
+pub fn server_list(version: u64, whole: bool, hosts: Vec<Value>) -> Value {
+    json!({"seq": version, "whole": whole, "hosts": hosts})
 }
 
-/// Where the n-th discovery is.
-pub fn discovery(n: u16) -> SocketAddr {
+/// The address of the n-th discovery.
+pub fn discovery_address(n: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 8500 + n))
 }
 
+/// A client's connection as the client sees it.
 #[derive(Default)]
 pub struct Client {
-    pub got: Vec<u8>,
-    pub finished: bool,
+    /// All bytes that the client was sent.
+    pub received: Vec<u8>,
+    /// Whether the proxy has shut the connection down for writing.
+    pub write_shut_down: bool,
+    /// How the proxy closed the connection; none while it is open.
     pub closed: Option<CloseKind>,
 }
 
+/// A leg's connection as its server sees it.
 #[derive(Default)]
-pub struct Server {
-    pub to: usize,
-    pub got: Vec<u8>,
-    pub figure: u64,
-    pub finished: bool,
+pub struct Leg {
+    /// The port that the leg was connected to.
+    pub port: usize,
+    /// All bytes that the server was sent.
+    pub received: Vec<u8>,
+    /// The waiting time in the request head that the server was sent, in milliseconds.
+    pub timeout_ms: u64,
+    /// Whether the proxy has shut the connection down for writing.
+    pub write_shut_down: bool,
 }
 
-pub struct Stand {
+/// The reducer with a clock that the test advances, and the connections that its effects opened.
+pub struct Harness {
     pub reducer: Reducer,
+    /// The time of the next event, in seconds.
     pub now: f64,
+    /// Open client connections, by session slot.
     pub clients: BTreeMap<usize, Client>,
-    pub servers: BTreeMap<usize, Server>,
-    /// Clients that are closed, by the order of closing.
-    pub past: Vec<Client>,
-    /// Legs dialled so far, by port.
-    pub dialled: Vec<usize>,
-    /// Heads that went out: the client's slot, the leg, the port.
-    pub heads: Vec<(usize, usize, usize)>,
+    /// Open legs, by leg slot.
+    pub legs: BTreeMap<usize, Leg>,
+    /// Clients that were closed, in the order of closing.
+    pub closed_clients: Vec<Client>,
+    /// The ports of all legs so far, in the order of connecting.
+    pub dialed_ports: Vec<usize>,
+    /// Request heads that were sent: the client's slot, the leg, the port.
+    pub sent_heads: Vec<(usize, usize, usize)>,
     pub accepting: bool,
-    pub exit: bool,
-    /// Where discovery was asked so far, and for the changes since which version.
-    pub follows: Vec<(SocketAddr, u64)>,
-    /// Whether the watch is open, so that what is told on it arrives.
-    pub watching: bool,
-    admitted: Option<usize>,
-    /// Calls made so far; each has an id of its own.
-    calls: u64,
+    pub exited: bool,
+    /// Requests for the watch: the address, and the version since which changes were requested.
+    pub watch_requests: Vec<(SocketAddr, u64)>,
+    /// Whether a watch is open or requested, so that bytes from discovery reach the reducer.
+    pub watch_open: bool,
+    /// The slot that the reducer assigned to the client that connected last.
+    assigned_slot: Option<usize>,
+    /// The id of the latest call; each call has a different one.
+    last_call_id: u64,
 }
 
-impl Stand {
-    pub fn new(descriptors: usize, known: Value) -> Stand {
-        Stand::of(7, &settings(), descriptors, known)
+impl Harness {
+    /// A harness with the default settings and seed, and this remembered server list.
+    pub fn new(descriptors: usize, remembered: Value) -> Harness {
+        Harness::with_settings(7, &settings(), descriptors, remembered)
     }
 
-    /// At 1000 s on its clock, when clients are heard, whether or not discovery has said anything by then.
-    pub fn of(seed: u128, settings: &Value, descriptors: usize, known: Value) -> Stand {
-        let mut stand = Stand::unheard(seed, settings, descriptors, known);
-        stand.later(1000.0 - stand.now);
-        stand
+    /// A harness at 1000 s on its clock, when first lines are processed even if discovery has sent nothing yet.
+    pub fn with_settings(seed: u128, settings: &Value, descriptors: usize, remembered: Value) -> Harness {
+        let mut harness = Harness::at_process_start(seed, settings, descriptors, remembered);
+        harness.advance(1000.0 - harness.now);
+        harness
     }
 
-    /// In its first moment.
-    pub fn unheard(seed: u128, settings: &Value, descriptors: usize, known: Value) -> Stand {
-        let startup = Startup::parse(settings).expect("the settings are sound");
-        let began = 999.5;
-        let mut stand = Stand {
-            reducer: Reducer::new(began, startup, seed, discovery(1), descriptors, &known),
-            now: began,
+    /// A harness at the start of the process, before the remembered list is confirmed.
+    pub fn at_process_start(seed: u128, settings: &Value, descriptors: usize, remembered: Value) -> Harness {
+        let startup = Startup::parse(settings).expect("the settings are valid");
+        let started_at = 999.5;
+        let mut harness = Harness {
+            reducer: Reducer::new(started_at, startup, seed, discovery_address(1), descriptors, &remembered),
+            now: started_at,
             clients: BTreeMap::new(),
-            servers: BTreeMap::new(),
-            past: Vec::new(),
-            dialled: Vec::new(),
-            heads: Vec::new(),
+            legs: BTreeMap::new(),
+            closed_clients: Vec::new(),
+            dialed_ports: Vec::new(),
+            sent_heads: Vec::new(),
             accepting: true,
-            exit: false,
-            follows: Vec::new(),
-            watching: false,
-            admitted: None,
-            calls: 0x9b1f_03aa_5c7e_2d40,
+            exited: false,
+            watch_requests: Vec::new(),
+            watch_open: false,
+            assigned_slot: None,
+            last_call_id: 0x9b1f_03aa_5c7e_2d40,
         };
-        stand.apply(&[]);
-        stand
+        harness.apply_effects(&[]);
+        harness
     }
 
-    pub fn ready(n: usize) -> Stand {
-        Stand::new(256, list(1, true, (0..n).map(|i| host(i, "ready")).collect()))
+    /// A harness whose remembered list has `n` ready servers.
+    pub fn with_ready_servers(n: usize) -> Harness {
+        Harness::new(256, server_list(1, true, (0..n).map(|i| host_entry(i, "ready")).collect()))
     }
 
-    pub fn tell(&mut self, event: Event) {
+    /// Delivers an event to the reducer and carries out its effects.
+    pub fn deliver(&mut self, event: Event) {
         let bytes = match event {
             Event::Bytes(_, bytes) => bytes.to_vec(),
             _ => Vec::new(),
         };
         self.reducer.step(self.now, event);
-        self.apply(&bytes);
+        self.apply_effects(&bytes);
     }
 
-    /// Discovery opens the watch and writes this first.
-    pub fn watch(&mut self, told: &str) {
-        self.watching = true;
-        self.tell(Event::WatchOpened);
-        self.tell(Event::WatchBytes(format!("HTTP/1.1 200 OK\r\n\r\n{told}\n").as_bytes()));
+    /// Opens the watch and delivers this as its first line.
+    pub fn open_watch(&mut self, line: &str) {
+        self.watch_open = true;
+        self.deliver(Event::WatchOpened);
+        self.deliver(Event::WatchBytes(format!("HTTP/1.1 200 OK\r\n\r\n{line}\n").as_bytes()));
     }
 
-    fn say(&mut self, end: Endpoint, text: &[u8]) {
-        match end {
+    /// Records bytes that the reducer wrote to a connection.
+    fn record_write(&mut self, endpoint: Endpoint, bytes: &[u8]) {
+        match endpoint {
             Endpoint::Client(slot) => {
-                let client = self.clients.get_mut(&slot).expect("a client that is open");
-                assert!(!client.finished, "a word after the last one");
-                client.got.extend_from_slice(text);
+                let client = self.clients.get_mut(&slot).expect("the client is connected");
+                assert!(!client.write_shut_down, "a write to a client after the shutdown");
+                client.received.extend_from_slice(bytes);
             }
             Endpoint::Server(slot) => {
-                let server = self.servers.get_mut(&slot).expect("a leg that is out");
-                assert!(!server.finished, "a line after the end");
-                server.got.extend_from_slice(text);
+                let leg = self.legs.get_mut(&slot).expect("the leg is open");
+                assert!(!leg.write_shut_down, "a write to a server after the shutdown");
+                leg.received.extend_from_slice(bytes);
             }
         }
     }
 
-    fn apply(&mut self, bytes: &[u8]) {
+    /// Carries out the reducer's effects; `event_bytes` are the bytes of the event that caused them.
+    fn apply_effects(&mut self, event_bytes: &[u8]) {
         for effect in self.reducer.take_effects() {
             match effect {
                 Effect::AssignSession(slot) => {
-                    self.admitted = Some(slot);
-                    assert!(self.clients.insert(slot, Client::default()).is_none(), "a slot given twice");
+                    self.assigned_slot = Some(slot);
+                    assert!(
+                        self.clients.insert(slot, Client::default()).is_none(),
+                        "a session slot was assigned twice"
+                    );
                 }
-                Effect::Connect(leg, to) => {
-                    let to = usize::from(to.port());
-                    self.dialled.push(to);
-                    let fresh = Server { to, ..Server::default() };
-                    assert!(self.servers.insert(leg, fresh).is_none(), "a slot given twice");
+                Effect::Connect(leg, address) => {
+                    let port = usize::from(address.port());
+                    self.dialed_ports.push(port);
+                    let new_leg = Leg { port, ..Leg::default() };
+                    assert!(self.legs.insert(leg, new_leg).is_none(), "a leg slot was assigned twice");
                 }
                 Effect::SendHead { leg, session, timeout_range, timeout_ms } => {
                     let head = self.reducer.session_head(session);
-                    let text = [
+                    let bytes = [
                         &head[..timeout_range.start],
                         timeout_ms.to_string().as_bytes(),
                         &head[timeout_range.end..],
                     ]
                     .concat();
-                    self.say(Endpoint::Server(leg), &text);
-                    assert!(self.clients.contains_key(&session), "a head for a client that is gone");
-                    self.heads.push((session, leg, self.servers[&leg].to));
-                    self.servers.get_mut(&leg).unwrap().figure = timeout_ms;
+                    self.record_write(Endpoint::Server(leg), &bytes);
+                    assert!(self.clients.contains_key(&session), "a head was sent for a client that is gone");
+                    self.sent_heads.push((session, leg, self.legs[&leg].port));
+                    self.legs.get_mut(&leg).unwrap().timeout_ms = timeout_ms;
                 }
-                Effect::Forward(end, range) => self.say(end, &bytes[range]),
-                Effect::Write(end, text) => self.say(end, &text),
+                Effect::Forward(endpoint, range) => self.record_write(endpoint, &event_bytes[range]),
+                Effect::Write(endpoint, bytes) => self.record_write(endpoint, &bytes),
                 Effect::ShutdownWrite(Endpoint::Client(slot)) => {
-                    self.clients.get_mut(&slot).expect("open").finished = true
+                    self.clients.get_mut(&slot).expect("the client is connected").write_shut_down = true
                 }
                 Effect::ShutdownWrite(Endpoint::Server(slot)) => {
-                    self.servers.get_mut(&slot).expect("open").finished = true
+                    self.legs.get_mut(&slot).expect("the leg is open").write_shut_down = true
                 }
-                Effect::Close(Endpoint::Client(slot), how) => {
-                    let mut client = self.clients.remove(&slot).expect("a client that is open");
-                    client.closed = Some(how);
-                    self.past.push(client);
+                Effect::Close(Endpoint::Client(slot), kind) => {
+                    let mut client = self.clients.remove(&slot).expect("the client is connected");
+                    client.closed = Some(kind);
+                    self.closed_clients.push(client);
                 }
                 Effect::Close(Endpoint::Server(slot), _) => {
-                    drop(self.servers.remove(&slot).expect("a leg that is out"))
+                    drop(self.legs.remove(&slot).expect("the leg is open"))
                 }
                 Effect::SetAccepting(on) => self.accepting = on,
-                Effect::OpenWatch(at, since) => self.follows.push((at, since)),
-                Effect::CloseWatch => self.watching = false,
-                Effect::Exit => self.exit = true,
+                Effect::OpenWatch(address, since) => self.watch_requests.push((address, since)),
+                Effect::CloseWatch => self.watch_open = false,
+                Effect::Exit => self.exited = true,
             }
         }
         let (sessions, legs, used) = self.reducer.open_counts();
-        assert_eq!(legs, self.servers.len(), "a leg without its socket, or the other way round");
-        assert_eq!(sessions, self.clients.len(), "a session without its socket, or the other way round");
+        assert_eq!(legs, self.legs.len(), "the reducer's legs differ from the open connections to servers");
+        assert_eq!(
+            sessions,
+            self.clients.len(),
+            "the reducer's sessions differ from the open client connections"
+        );
         assert_eq!(used, sessions + legs, "descriptors are miscounted");
     }
 
+    /// Connects a client and returns its slot.
     pub fn connect(&mut self) -> usize {
-        self.tell(Event::Accepted);
-        self.admitted.take().expect("a slot for the client")
+        self.deliver(Event::Accepted);
+        self.assigned_slot.take().expect("the client was assigned a slot")
     }
 
-    /// A client that has sent its first line.
-    pub fn open(&mut self, line: &str) -> usize {
+    /// Connects a client that sends this first line, and returns its slot.
+    pub fn connect_and_send(&mut self, line: &str) -> usize {
         let slot = self.connect();
-        self.client_says(slot, line);
+        self.client_sends(slot, line);
         slot
     }
 
-    pub fn call(&mut self, kind: &str) -> usize {
-        self.calls += 1;
-        self.open(&format!(
-            "OPEN {:016x} 7f3a9c21e0b4d655 c={kind},t=shop-a,d=1500,g=5c0f6e1a2b3d4c59,x=1\r\n",
-            self.calls
+    /// Connects a client that sends a call of this traffic type, and returns its slot.
+    pub fn start_call(&mut self, traffic_type: &str) -> usize {
+        self.last_call_id += 1;
+        self.connect_and_send(&format!(
+            "OPEN {:016x} 7f3a9c21e0b4d655 c={traffic_type},t=shop-a,d=1500,g=5c0f6e1a2b3d4c59,x=1\r\n",
+            self.last_call_id
         ))
     }
 
-    pub fn client_says(&mut self, slot: usize, text: &str) {
-        self.tell(Event::Bytes(Endpoint::Client(slot), text.as_bytes()));
+    /// Delivers bytes from a client.
+    pub fn client_sends(&mut self, slot: usize, text: &str) {
+        self.deliver(Event::Bytes(Endpoint::Client(slot), text.as_bytes()));
     }
 
-    pub fn server_says(&mut self, leg: usize, text: &str) {
-        self.tell(Event::Bytes(Endpoint::Server(leg), text.as_bytes()));
+    /// Delivers bytes from a leg's server.
+    pub fn server_sends(&mut self, leg: usize, text: &str) {
+        self.deliver(Event::Bytes(Endpoint::Server(leg), text.as_bytes()));
     }
 
-    /// The newest leg out.
-    pub fn leg(&self) -> usize {
-        *self.servers.keys().next_back().expect("a leg that is out")
+    /// The open leg with the highest slot.
+    pub fn last_leg(&self) -> usize {
+        *self.legs.keys().next_back().expect("a leg is open")
     }
 
-    pub fn connected(&mut self, leg: usize) {
-        self.tell(Event::Connected(leg));
-        self.tell(Event::HeadWritten(leg));
+    /// Reports the leg as connected, and its request head as written.
+    pub fn connect_leg(&mut self, leg: usize) {
+        self.deliver(Event::Connected(leg));
+        self.deliver(Event::HeadWritten(leg));
     }
 
-    /// A call that stands, and its leg.
-    pub fn standing(&mut self) -> (usize, usize) {
-        let client = self.call("feed");
-        let leg = self.leg();
-        self.connected(leg);
-        self.server_says(leg, "UP 1\r\n");
+    /// Establishes a call; returns its client's slot and its leg.
+    pub fn establish_call(&mut self) -> (usize, usize) {
+        let client = self.start_call("feed");
+        let leg = self.last_leg();
+        self.connect_leg(leg);
+        self.server_sends(leg, "UP 1\r\n");
         (client, leg)
     }
 
-    pub fn later(&mut self, by: f64) {
-        self.now += by;
-        self.tell(Event::Tick);
+    /// Advances the clock by this many seconds and runs the timers that are due.
+    pub fn advance(&mut self, seconds: f64) {
+        self.now += seconds;
+        self.deliver(Event::Tick);
     }
 
-    pub fn got(&self, client: usize) -> String {
-        String::from_utf8_lossy(&self.clients[&client].got).into_owned()
+    /// The text that the client was sent so far.
+    pub fn received(&self, client: usize) -> String {
+        String::from_utf8_lossy(&self.clients[&client].received).into_owned()
     }
 }
--- a/crates/dewhead-proxy/tests/common/processes.rs
+++ b/crates/dewhead-proxy/tests/common/processes.rs
@@ -1,6 +1,6 @@
 //! Real processes of the proxy that take one another's place, with a server and a folder for their configurations.
 
-use super::{list, settings, ZONES};
+use super::{server_list, settings, ZONES};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -59,7 +59,7 @@
                            "health": "ready", "share": 1.0, "born_ms": 0});
         let seed = if faulty { json!("none") } else { json!("7") };
         let told = json!({"name": "p", "listen": self.listen.to_string(), "discovery": "127.0.0.1:1", "seed": seed,
-                          "known": list(1, true, vec![entry]), "control": self.control(), "settings": settings(),
+                          "known": server_list(1, true, vec![entry]), "control": self.control(), "settings": settings(),
                           "limits": {"sockets": sockets}});
         let path = self.dir.join(file);
         std::fs::write(&path, told.to_string()).unwrap();
--- a/crates/dewhead-proxy/tests/configuration.rs
+++ b/crates/dewhead-proxy/tests/configuration.rs
@@ -8,7 +8,7 @@
 fn sound() -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:8081", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 2000}, "settings": common::settings(),
-           "known": common::list(4, true, vec![common::host(1, "ready")])})
+           "known": common::server_list(4, true, vec![common::host_entry(1, "ready")])})
 }
 
 #[test]
--- a/crates/dewhead-proxy/tests/customers.rs
+++ b/crates/dewhead-proxy/tests/customers.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use common::list;
 use common::loopback::{entry, line, rest, say, until, Place, Proxy};
+use common::server_list;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -78,7 +78,7 @@
             held.push((client, leg));
         }
         // A drain: the next goes elsewhere.
-        writeln!(watch, "{}", list(3, false, hosts("draining"))).unwrap();
+        writeln!(watch, "{}", server_list(3, false, hosts("draining"))).unwrap();
         proxy.logs("is Draining");
         let (kind, guard) = (classes[0]["name"].as_str().unwrap(), classes[0]["guardTime"].as_f64().unwrap());
         let mut client = open(100, kind, guard);
--- a/crates/dewhead-proxy/tests/ends.rs
+++ b/crates/dewhead-proxy/tests/ends.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::loopback::{entry, line, rest, say, until, Place, Proxy, EVER};
-use common::{list, settings};
+use common::{server_list, settings};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -42,7 +42,7 @@
         let mut client = proxy.client(1, kind, 15_000);
         until("the leg is dialled", || first.is_tried());
         let drained = vec![entry("s-1", first.at, "draining"), entry("s-2", second.at, "ready")];
-        writeln!(watch, "{}", list(3, false, drained)).unwrap();
+        writeln!(watch, "{}", server_list(3, false, drained)).unwrap();
         // The list is read: another call goes by it.
         let mut other = proxy.client(2, kind, 15_000);
         let (served, _) = second.asked();
--- a/crates/dewhead-proxy/tests/handover.rs
+++ b/crates/dewhead-proxy/tests/handover.rs
@@ -163,9 +163,9 @@
 
 #[test]
 fn what_is_handed_on_is_taken_up_as_far_as_it_makes_sense() {
-    let mut stand = common::Stand::ready(4);
-    let (_, leg) = stand.standing();
-    stand.tell(Event::Closed(
+    let mut stand = common::Harness::with_ready_servers(4);
+    let (_, leg) = stand.establish_call();
+    stand.deliver(Event::Closed(
         dewhead_proxy::reducer::Endpoint::Server(leg),
         dewhead_proxy::reducer::CloseKind::Abortive,
     ));
@@ -174,7 +174,7 @@
     assert_eq!(read.list["hosts"].as_array().unwrap().len(), 4);
     assert!(!read.servers.is_empty());
     // Another process, with the list that was handed on.
-    let mut next = common::Stand::new(256, read.list.clone());
+    let mut next = common::Harness::new(256, read.list.clone());
     next.reducer.import_state(next.now + 1.0, &read);
     let again = handover_state::decode(&next.reducer.export_state(next.now + 1.0)).unwrap();
     let limits = |h: &handover_state::HandoverState| {
@@ -190,10 +190,10 @@
     bad["servers"][0]["limit"] = json!([-1e300, "x"]);
     bad["servers"].as_array_mut().unwrap().push(json!("x"));
     bad["paces"] = json!({"x": [], "7": [1e300, 0, 1, -5]});
-    let mut other = common::Stand::new(256, read.list.clone());
+    let mut other = common::Harness::new(256, read.list.clone());
     other.reducer.import_state(other.now, &handover_state::decode(&bad).unwrap());
     assert!(limits(&handover_state::decode(&other.reducer.export_state(other.now)).unwrap()).is_empty());
-    let mut late = common::Stand::new(256, read.list.clone());
+    let mut late = common::Harness::new(256, read.list.clone());
     late.reducer.import_state(late.now + 1e4, &read);
     assert!(limits(&handover_state::decode(&late.reducer.export_state(late.now + 1e4)).unwrap()).is_empty());
     // A server that has started anew is unknown.
@@ -201,7 +201,7 @@
     for host in anew["hosts"].as_array_mut().unwrap() {
         host["born_ms"] = json!(999_000);
     }
-    let mut started = common::Stand::new(256, anew);
+    let mut started = common::Harness::new(256, anew);
     started.reducer.import_state(started.now, &read);
     assert!(limits(&handover_state::decode(&started.reducer.export_state(started.now)).unwrap()).is_empty());
 }
--- a/crates/dewhead-proxy/tests/interleavings.rs
+++ b/crates/dewhead-proxy/tests/interleavings.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{host, list, settings, Stand};
+use common::{host_entry, server_list, settings, Harness};
 use dewhead_proxy::reducer::{CloseKind, Endpoint, Event};
 use oorandom::Rand64;
 use quickcheck::{Gen, QuickCheck};
@@ -29,7 +29,7 @@
 }
 
 struct Play {
-    stand: Stand,
+    stand: Harness,
     health: [&'static str; SERVERS],
     calls: BTreeMap<usize, Open>,
     asked: BTreeMap<usize, Asked>,
@@ -41,11 +41,11 @@
     /// Tells the event, and then checks all that it brought. `never_ran` is the leg that the event says that of.
     fn tell(&mut self, event: Event, never_ran: Option<usize>) {
         let before: Vec<usize> = self.asked.keys().copied().collect();
-        let dialled = self.stand.dialled.len();
-        self.stand.tell(event);
+        let dialled = self.stand.dialed_ports.len();
+        self.stand.deliver(event);
         for leg in before {
             // A slot in use may be the next one's; it has no head yet then.
-            let same = self.stand.servers.get(&leg).is_some_and(|s| !s.got.is_empty());
+            let same = self.stand.legs.get(&leg).is_some_and(|s| !s.received.is_empty());
             if !same {
                 let ended = self.asked.remove(&leg).unwrap();
                 if let Some(call) = self.calls.get_mut(&ended.client) {
@@ -53,15 +53,15 @@
                 }
             }
         }
-        for (client, leg, port) in self.stand.heads[self.heads..].iter().copied() {
+        for (client, leg, port) in self.stand.sent_heads[self.heads..].iter().copied() {
             assert_eq!(self.health[port - 9000], "ready", "rule 3: sent to a server that was told to drain");
             let call = &self.calls[&client];
             assert!(call.kind != "order" || !call.may_have_run, "rule 2: a once-only call that may have run");
             assert!(!self.asked.values().any(|a| a.client == client), "two legs at once");
             self.asked.insert(leg, Asked { client, whole: false });
         }
-        self.heads = self.stand.heads.len();
-        for port in &self.stand.dialled[dialled..] {
+        self.heads = self.stand.sent_heads.len();
+        for port in &self.stand.dialed_ports[dialled..] {
             assert_eq!(
                 self.health[port - 9000],
                 "ready",
@@ -70,7 +70,7 @@
         }
         self.calls.retain(|client, _| self.stand.clients.contains_key(client));
         for (client, call) in &self.calls {
-            let got = self.stand.got(*client);
+            let got = self.stand.received(*client);
             let last = got.lines().filter(|l| *l == "ERR" || *l == "MOVE" || l.starts_with("BUSY")).count();
             // What a server says from UP on passes as it is; the stand fails on a word after the last one.
             assert!(last <= 1 || got.starts_with("UP "), "rule 1: two last words: {got:?}");
@@ -83,7 +83,7 @@
         }
     }
 
-    fn later(&mut self, by: f64) {
+    fn advance(&mut self, by: f64) {
         self.stand.now += by;
         self.tell(Event::Tick, None);
     }
@@ -100,15 +100,15 @@
     }
 
     /// Discovery's next word, on a watch that it opens if none is.
-    fn list(&mut self, at: Option<usize>) {
+    fn server_list(&mut self, at: Option<usize>) {
         self.version += 1;
         let hosts = match at {
-            Some(at) => vec![host(at, self.health[at])],
-            None => (0..SERVERS).map(|at| host(at, self.health[at])).collect(),
+            Some(at) => vec![host_entry(at, self.health[at])],
+            None => (0..SERVERS).map(|at| host_entry(at, self.health[at])).collect(),
         };
-        let told = list(self.version, at.is_none(), hosts);
-        if !self.stand.watching {
-            self.stand.watching = true;
+        let told = server_list(self.version, at.is_none(), hosts);
+        if !self.stand.watch_open {
+            self.stand.watch_open = true;
             self.tell(Event::WatchOpened, None);
             self.tell(Event::WatchBytes(b"HTTP/1.1 200 OK\r\n\r\n"), None);
         }
@@ -121,22 +121,22 @@
     let mut told = settings();
     told["membershipMode"] = json!(if seed.is_multiple_of(2) { "automatic" } else { "subscribe" });
     told["trafficTypes"][2]["keyScope"] = json!("zone");
-    let known = list(1, true, (0..SERVERS).map(|n| host(n, "ready")).collect());
+    let known = server_list(1, true, (0..SERVERS).map(|n| host_entry(n, "ready")).collect());
     let mut play = Play {
-        stand: Stand::of(u128::from(seed), &told, 200, known),
+        stand: Harness::with_settings(u128::from(seed), &told, 200, known),
         health: ["ready"; SERVERS],
         calls: BTreeMap::new(),
         asked: BTreeMap::new(),
         heads: 0,
         version: 1,
     };
-    play.list(None);
+    play.server_list(None);
     let stop = 200 + dice.rand_range(0..300);
     for step in 0..600 {
         let mut one =
             |of: Vec<usize>| (!of.is_empty()).then(|| of[dice.rand_range(0..of.len() as u64) as usize]);
         let client = one(play.stand.clients.keys().copied().collect());
-        let leg = one(play.stand.servers.keys().copied().collect());
+        let leg = one(play.stand.legs.keys().copied().collect());
         let up = leg.filter(|l| play.asked.get(l).is_some_and(|a| a.whole));
         let how = if dice.rand_float() < 0.5 { CloseKind::Graceful } else { CloseKind::Abortive };
         match (dice.rand_range(0..20), client, leg) {
@@ -170,29 +170,29 @@
             (14 | 15, ..) => {
                 let at = dice.rand_range(0..SERVERS as u64) as usize;
                 play.health[at] = ["ready", "ready", "draining", "gone"][dice.rand_range(0..4) as usize];
-                play.list(Some(at));
+                play.server_list(Some(at));
             }
             (16, ..) if dice.rand_float() < 0.3 => {
-                play.stand.watching = false;
+                play.stand.watch_open = false;
                 play.tell(Event::WatchLost, None);
-                play.later(0.2);
-                play.list(None);
+                play.advance(0.2);
+                play.server_list(None);
             }
             (17, ..) if dice.rand_float() < 0.1 => play.tell(Event::Drain(0.5), None),
             (17, ..) => play.tell(Event::Undrain, None),
-            _ => play.later(dice.rand_float() * 0.2),
+            _ => play.advance(dice.rand_float() * 0.2),
         }
         if step == stop && seed.is_multiple_of(3) {
             let at = play.stand.now;
             play.tell(Event::Stop, None);
             // A fifth of the plays stop while the rest of the events go on; time goes on faster.
-            while play.stand.now < at + 2.54 && !play.stand.exit {
+            while play.stand.now < at + 2.54 && !play.stand.exited {
                 play.open(KINDS[dice.rand_range(0..3) as usize]);
-                play.later(0.07);
+                play.advance(0.07);
             }
             let all: Vec<usize> = play.stand.clients.keys().copied().collect();
             for client in all {
-                let (got, done) = (play.stand.got(client), play.stand.clients[&client].finished);
+                let (got, done) = (play.stand.received(client), play.stand.clients[&client].write_shut_down);
                 let owed = !done && play.calls.get(&client).is_some_and(|c| c.since < at + 2.4);
                 assert!(!owed, "at a stop's end one is owed its last word: {got:?}");
             }
@@ -202,7 +202,7 @@
     for client in play.stand.clients.keys().copied().collect::<Vec<_>>() {
         play.tell(Event::Closed(Endpoint::Client(client), CloseKind::Abortive), None);
     }
-    play.later(10.0);
+    play.advance(10.0);
     assert_eq!(play.stand.reducer.violations(), 0, "the guard found a promise broken");
     assert_eq!(play.stand.reducer.open_counts(), (0, 0, 0), "a slot or a descriptor was not given back");
     let waiting = play.stand.reducer.timer_count();
--- a/crates/dewhead-proxy/tests/owed.rs
+++ b/crates/dewhead-proxy/tests/owed.rs
@@ -3,58 +3,58 @@
 
 mod common;
 
-use common::{discovery, host, list, settings, Stand};
+use common::{discovery_address, host_entry, server_list, settings, Harness};
 use dewhead_proxy::reducer::{CloseKind, Endpoint, Event};
 use serde_json::{json, Value};
 
 const KINDS: [&str; 3] = ["feed", "order", "note"];
 
-fn told(stand: &mut Stand, hosts: Vec<Value>) {
-    stand.watch(&list(9, false, hosts).to_string());
+fn told(stand: &mut Harness, hosts: Vec<Value>) {
+    stand.open_watch(&server_list(9, false, hosts).to_string());
 }
 
 /// `connected` wrote the head without another look: a leg dialled before a drain was told and up after it was sent past the
 /// grace wherever connections may take longer than that to come up (100 ms at one site, 400 ms the other way).
 #[test]
 fn a_leg_that_comes_up_after_its_server_changed_is_not_asked() {
-    type Change = fn(&mut Stand, usize);
+    type Change = fn(&mut Harness, usize);
     let changes: [(&str, Change); 5] = [
-        ("drains", |stand, n| told(stand, vec![host(n, "draining")])),
-        ("is gone", |stand, n| told(stand, vec![host(n, "gone")])),
+        ("drains", |stand, n| told(stand, vec![host_entry(n, "draining")])),
+        ("is gone", |stand, n| told(stand, vec![host_entry(n, "gone")])),
         ("started anew, and is cold", |stand, n| {
-            let mut anew = host(n, "ready");
+            let mut anew = host_entry(n, "ready");
             anew["born_ms"] = json!(999_990.0);
             told(stand, vec![anew]);
         }),
         ("moved", |stand, n| {
-            let mut moved = host(n, "ready");
+            let mut moved = host_entry(n, "ready");
             moved["dial"] = json!("127.0.0.1:9099");
             told(stand, vec![moved]);
         }),
         ("is gone from a whole list", |stand, n| {
-            let others = (0..3).filter(|other| *other != n).map(|other| host(other, "ready")).collect();
-            stand.watch(&list(9, true, others).to_string());
+            let others = (0..3).filter(|other| *other != n).map(|other| host_entry(other, "ready")).collect();
+            stand.open_watch(&server_list(9, true, others).to_string());
         }),
     ];
     for kind in KINDS {
         for (what, change) in changes {
-            let mut stand = Stand::ready(3);
-            let client = stand.call(kind);
-            let leg = stand.leg();
-            let first = stand.dialled[0];
+            let mut stand = Harness::with_ready_servers(3);
+            let client = stand.start_call(kind);
+            let leg = stand.last_leg();
+            let first = stand.dialed_ports[0];
             change(&mut stand, first - 9000);
-            stand.tell(Event::Connected(leg));
-            assert_eq!(stand.heads, [], "{kind}: its server {what}");
+            stand.deliver(Event::Connected(leg));
+            assert_eq!(stand.sent_heads, [], "{kind}: its server {what}");
             assert_eq!(
-                stand.dialled.len(),
+                stand.dialed_ports.len(),
                 2,
                 "{kind}: it never ran, and goes elsewhere when its server {what}"
             );
-            assert!(what == "moved" || stand.dialled[1] != first, "{kind}: {what}");
-            let leg = stand.leg();
-            stand.connected(leg);
-            stand.server_says(leg, "UP 3\r\n");
-            assert_eq!(stand.got(client), "UP 3\r\n");
+            assert!(what == "moved" || stand.dialed_ports[1] != first, "{kind}: {what}");
+            let leg = stand.last_leg();
+            stand.connect_leg(leg);
+            stand.server_sends(leg, "UP 3\r\n");
+            assert_eq!(stand.received(client), "UP 3\r\n");
         }
     }
 }
@@ -67,18 +67,18 @@
     told["trafficTypes"][2]["repeatWindow"] = json!(500.0);
     told["limits"]["connectTimeout"] = json!(1000.0);
     told["limits"]["mostLegs"] = json!(2);
-    let mut stand = Stand::of(7, &told, 256, list(1, true, vec![host(0, "ready")]));
-    let client = stand.call("note");
-    let leg = stand.leg();
-    stand.connected(leg);
-    stand.later(0.1);
-    stand.server_says(leg, "ERR\r\n");
-    assert_eq!(stand.dialled.len(), 2, "sent again while the mark is remembered");
-    let leg = stand.leg();
-    stand.later(0.45);
-    stand.tell(Event::Connected(leg));
-    assert_eq!(stand.heads.len(), 1, "the second is not sent");
-    assert_eq!(stand.got(client), "ERR\r\n", "no reject, as the first may have run");
+    let mut stand = Harness::with_settings(7, &told, 256, server_list(1, true, vec![host_entry(0, "ready")]));
+    let client = stand.start_call("note");
+    let leg = stand.last_leg();
+    stand.connect_leg(leg);
+    stand.advance(0.1);
+    stand.server_sends(leg, "ERR\r\n");
+    assert_eq!(stand.dialed_ports.len(), 2, "sent again while the mark is remembered");
+    let leg = stand.last_leg();
+    stand.advance(0.45);
+    stand.deliver(Event::Connected(leg));
+    assert_eq!(stand.sent_heads.len(), 1, "the second is not sent");
+    assert_eq!(stand.received(client), "ERR\r\n", "no reject, as the first may have run");
 }
 
 /// An `UP` that comes before the head's last byte is nobody's answer to it: it was passed on, and the call stood at a server
@@ -87,13 +87,13 @@
 fn what_a_server_says_before_it_has_the_whole_line_is_no_answer() {
     for kind in KINDS {
         for said in ["UP 1\r\n", "ERR\r\n", "MOVE\r\n", "UP", "\r\n", "BUSY\r\n"] {
-            let mut stand = Stand::ready(2);
-            let client = stand.call(kind);
-            let leg = stand.leg();
-            stand.tell(Event::Connected(leg));
-            stand.server_says(leg, said);
-            assert_eq!(stand.got(client), "", "{kind}: {said:?}");
-            assert_eq!(stand.dialled.len(), 2, "{kind}: it never ran, and is sent again after {said:?}");
+            let mut stand = Harness::with_ready_servers(2);
+            let client = stand.start_call(kind);
+            let leg = stand.last_leg();
+            stand.deliver(Event::Connected(leg));
+            stand.server_sends(leg, said);
+            assert_eq!(stand.received(client), "", "{kind}: {said:?}");
+            assert_eq!(stand.dialed_ports.len(), 2, "{kind}: it never ran, and is sent again after {said:?}");
         }
     }
 }
@@ -117,19 +117,20 @@
     ];
     for kind in KINDS {
         for (said, end, never_ran) in cases {
-            let mut stand = Stand::ready(2);
-            let client = stand.call(kind);
-            let leg = stand.leg();
-            stand.connected(leg);
-            stand.server_says(leg, said);
+            let mut stand = Harness::with_ready_servers(2);
+            let client = stand.start_call(kind);
+            let leg = stand.last_leg();
+            stand.connect_leg(leg);
+            stand.server_sends(leg, said);
             // After a whole line the leg has ended, and its end falls on nobody.
-            if let Some(how) = end.filter(|_| stand.dialled.len() == 1 && stand.servers.contains_key(&leg)) {
-                stand.tell(Event::Closed(Endpoint::Server(leg), how));
+            if let Some(how) = end.filter(|_| stand.dialed_ports.len() == 1 && stand.legs.contains_key(&leg))
+            {
+                stand.deliver(Event::Closed(Endpoint::Server(leg), how));
             }
             let again = never_ran || kind != "order";
-            assert_eq!(stand.dialled.len(), 1 + usize::from(again), "{kind}: {said:.9?} {end:?}");
+            assert_eq!(stand.dialed_ports.len(), 1 + usize::from(again), "{kind}: {said:.9?} {end:?}");
             let wanted = if again { "" } else { "ERR\r\n" };
-            assert_eq!(stand.got(client), wanted, "{kind}: {said:.9?} {end:?}");
+            assert_eq!(stand.received(client), wanted, "{kind}: {said:.9?} {end:?}");
         }
     }
 }
@@ -143,58 +144,66 @@
         for (at, guard) in guards.iter().enumerate() {
             told["trafficTypes"][at]["guardTime"] = json!(guard);
         }
-        let mut stand = Stand::of(7, &told, 256, list(1, true, (0..3).map(|n| host(n, "ready")).collect()));
+        let mut stand = Harness::with_settings(
+            7,
+            &told,
+            256,
+            server_list(1, true, (0..3).map(|n| host_entry(n, "ready")).collect()),
+        );
         let id = std::cell::Cell::new(1);
         let line = |kind: &str, more: &str| {
             id.set(id.get() + 1);
             format!("OPEN {:016x} 7f3a9c21e0b4d655 c={kind},t=shop-a,d=9000{more}\r\n", id.get())
         };
         let mut owed = Vec::new();
-        let standing: Vec<(usize, usize)> = (0..20).map(|_| stand.standing()).collect();
+        let standing: Vec<(usize, usize)> = (0..20).map(|_| stand.establish_call()).collect();
         // One is within a line, whose rest comes when others have left.
         let (_, slow) = standing[3];
-        stand.server_says(slow, "M 1 ha");
+        stand.server_sends(slow, "M 1 ha");
         for kind in KINDS {
             // A server that hangs with the line, and one whose connection does not come up.
-            let asked = stand.open(&line(kind, ""));
-            let leg = stand.leg();
-            stand.connected(leg);
-            owed.extend([asked, stand.open(&line(kind, ""))]);
+            let asked = stand.connect_and_send(&line(kind, ""));
+            let leg = stand.last_leg();
+            stand.connect_leg(leg);
+            owed.extend([asked, stand.connect_and_send(&line(kind, ""))]);
         }
-        owed.push(stand.open(&line("feed", ",at=s-2")));
-        stand.tell(Event::Stop);
+        owed.push(stand.connect_and_send(&line("feed", ",at=s-2")));
+        stand.deliver(Event::Stop);
         let stop = stand.now;
         let (mut late, mut whole) = (None, false);
         while stand.now < stop + killed - 0.06 {
-            stand.later(0.025);
+            stand.advance(0.025);
             if stand.now > stop + 0.3 && owed.len() < 8 {
-                owed.push(stand.open(&line("order", "")));
-                let client = stand.open(&line("feed", ""));
-                late = Some((client, stand.leg()));
+                owed.push(stand.connect_and_send(&line("order", "")));
+                let client = stand.connect_and_send(&line("feed", ""));
+                late = Some((client, stand.last_leg()));
             }
             if let Some((client, leg)) = late.filter(|_| stand.now > stop + killed - 0.3) {
-                if stand.servers.contains_key(&leg) {
-                    stand.connected(leg);
-                    stand.server_says(leg, "UP 8\r\n");
-                    let got = stand.got(client);
+                if stand.legs.contains_key(&leg) {
+                    stand.connect_leg(leg);
+                    stand.server_sends(leg, "UP 8\r\n");
+                    let got = stand.received(client);
                     assert!(got.is_empty() || got == "UP 8\r\n" || got.ends_with("MOVE\r\n"), "{got}");
                 }
                 late = None;
             }
             if stand.now > stop + 0.65 && !std::mem::replace(&mut whole, true) {
-                stand.server_says(slow, "lf\r\n");
+                stand.server_sends(slow, "lf\r\n");
             }
         }
         for client in &owed {
-            let got = stand.got(*client);
+            let got = stand.received(*client);
             assert!(got == "ERR\r\n" || got.starts_with("BUSY"), "{killed}: {got:?} for one that waited");
         }
         for (client, _) in &standing {
-            assert!(stand.got(*client).ends_with("MOVE\r\n"), "{killed}: one that stood is cut off");
+            assert!(stand.received(*client).ends_with("MOVE\r\n"), "{killed}: one that stood is cut off");
         }
-        assert!(stand.clients.values().all(|c| c.finished), "{killed}: nobody stands or waits any more");
-        stand.later(0.05);
-        assert!(stand.exit, "{killed}: over by then");
+        assert!(
+            stand.clients.values().all(|c| c.write_shut_down),
+            "{killed}: nobody stands or waits any more"
+        );
+        stand.advance(0.05);
+        assert!(stand.exited, "{killed}: over by then");
     }
 }
 
@@ -216,28 +225,33 @@
             for seed in 0..20 {
                 let mut told = settings();
                 told["membershipMode"] = json!(mode);
-                let mut stand = Stand::of(seed, &told, 256, list(1, true, vec![host(0, "ready")]));
-                stand.watch(&list(2, true, vec![host(0, "ready")]).to_string());
-                let (fell_silent, mut seen) = (stand.now, stand.follows.len());
+                let mut stand = Harness::with_settings(
+                    seed,
+                    &told,
+                    256,
+                    server_list(1, true, vec![host_entry(0, "ready")]),
+                );
+                stand.open_watch(&server_list(2, true, vec![host_entry(0, "ready")]).to_string());
+                let (fell_silent, mut seen) = (stand.now, stand.watch_requests.len());
                 let (first, then) = dead(kind);
                 // On the watch that was open, no head can come any more.
                 let mut drip = if kind == "silent" { then } else { b" " };
                 while stand.now < fell_silent + 5.8 {
-                    stand.later(0.05);
-                    if stand.follows.len() > seen && stand.follows.len() < 4 {
-                        seen = stand.follows.len();
-                        stand.watching = true;
-                        stand.tell(Event::WatchOpened);
+                    stand.advance(0.05);
+                    if stand.watch_requests.len() > seen && stand.watch_requests.len() < 4 {
+                        seen = stand.watch_requests.len();
+                        stand.watch_open = true;
+                        stand.deliver(Event::WatchOpened);
                         if !first.is_empty() {
-                            stand.tell(Event::WatchBytes(first));
+                            stand.deliver(Event::WatchBytes(first));
                         }
                         drip = then;
                     }
-                    if stand.watching && stand.follows.len() < 4 && !drip.is_empty() {
-                        stand.tell(Event::WatchBytes(drip));
+                    if stand.watch_open && stand.watch_requests.len() < 4 && !drip.is_empty() {
+                        stand.deliver(Event::WatchBytes(drip));
                     }
                 }
-                let openings = stand.follows.len() - 1;
+                let openings = stand.watch_requests.len() - 1;
                 assert!(
                     openings >= 2,
                     "{mode}, {kind}: opened {openings} times since, of which the first was dead"
@@ -295,49 +309,55 @@
             for (seed, moved) in (0..20).flat_map(|seed| [(seed, false), (seed, true)]) {
                 let mut told = settings();
                 told["membershipMode"] = json!(mode);
-                let mut stand = Stand::of(seed, &told, 256, list(1, true, vec![host(0, "ready")]));
-                stand.watch(&list(2, true, vec![host(0, "ready")]).to_string());
-                stand.later(0.3);
+                let mut stand = Harness::with_settings(
+                    seed,
+                    &told,
+                    256,
+                    server_list(1, true, vec![host_entry(0, "ready")]),
+                );
+                stand.open_watch(&server_list(2, true, vec![host_entry(0, "ready")]).to_string());
+                stand.advance(0.3);
                 if moved {
-                    stand.tell(Event::Reconfigured(discovery(2), 200));
+                    stand.deliver(Event::Reconfigured(discovery_address(2), 200));
                 } else {
-                    stand.tell(Event::WatchLost);
+                    stand.deliver(Event::WatchLost);
                 }
                 let (from, mut seen) = (stand.now, if moved { 2 } else { 1 });
                 // By turns well again at any moment of what it does.
                 let well_at = from + 3.0 + f64::from(seed as u32) * 1.13;
                 let (mut asked_at, mut heard_at) = (f64::INFINITY, None);
                 while heard_at.is_none() && stand.now < well_at + 20.0 {
-                    stand.later(0.02);
-                    if stand.follows.len() > seen {
-                        seen = stand.follows.len();
+                    stand.advance(0.02);
+                    if stand.watch_requests.len() > seen {
+                        seen = stand.watch_requests.len();
                         asked_at = stand.now;
                         if stand.now >= well_at {
-                            stand.watch(&list(30, true, vec![host(1, "ready")]).to_string());
+                            stand
+                                .open_watch(&server_list(30, true, vec![host_entry(1, "ready")]).to_string());
                             heard_at = Some(stand.now - well_at);
                             break;
                         }
-                        stand.watching = !how.refused;
+                        stand.watch_open = !how.refused;
                         if how.refused {
-                            stand.tell(Event::WatchLost);
+                            stand.deliver(Event::WatchLost);
                             continue;
                         }
-                        stand.tell(Event::WatchOpened);
+                        stand.deliver(Event::WatchOpened);
                         if !how.at_once.is_empty() {
-                            stand.tell(Event::WatchBytes(how.at_once));
+                            stand.deliver(Event::WatchBytes(how.at_once));
                         }
-                        if how.ends && stand.watching {
-                            stand.tell(Event::WatchLost);
+                        if how.ends && stand.watch_open {
+                            stand.deliver(Event::WatchLost);
                         }
                         continue;
                     }
-                    if let Some((after, text)) = how.later.filter(|_| stand.watching) {
+                    if let Some((after, text)) = how.later.filter(|_| stand.watch_open) {
                         if stand.now - asked_at >= after {
-                            stand.tell(Event::WatchBytes(text));
+                            stand.deliver(Event::WatchBytes(text));
                         }
                     }
-                    if stand.watching && !how.drip.is_empty() {
-                        stand.tell(Event::WatchBytes(how.drip));
+                    if stand.watch_open && !how.drip.is_empty() {
+                        stand.deliver(Event::WatchBytes(how.drip));
                     }
                 }
                 let after = heard_at.unwrap_or(f64::INFINITY);
@@ -360,23 +380,24 @@
         for seed in 0..20 {
             let mut told = settings();
             told["membershipMode"] = json!(mode);
-            let mut stand = Stand::of(seed, &told, 256, list(1, true, vec![host(0, "ready")]));
-            stand.watch(&list(2, true, vec![host(0, "ready")]).to_string());
-            stand.later(1.0);
-            stand.tell(Event::WatchBytes(b"\n"));
-            let before = stand.follows.len();
-            stand.tell(Event::WatchLost);
-            stand.later(0.0);
-            assert_eq!(stand.follows.len(), before + 1, "{mode}: asked at once");
+            let mut stand =
+                Harness::with_settings(seed, &told, 256, server_list(1, true, vec![host_entry(0, "ready")]));
+            stand.open_watch(&server_list(2, true, vec![host_entry(0, "ready")]).to_string());
+            stand.advance(1.0);
+            stand.deliver(Event::WatchBytes(b"\n"));
+            let before = stand.watch_requests.len();
+            stand.deliver(Event::WatchLost);
+            stand.advance(0.0);
+            assert_eq!(stand.watch_requests.len(), before + 1, "{mode}: asked at once");
             // A discovery that ends each call at once is not asked without a pause.
             for _ in 0..100 {
-                stand.tell(Event::WatchLost);
-                stand.later(0.01);
+                stand.deliver(Event::WatchLost);
+                stand.advance(0.01);
             }
             assert!(
-                stand.follows.len() < before + 14,
+                stand.watch_requests.len() < before + 14,
                 "{mode}: {} times in a second",
-                stand.follows.len() - before
+                stand.watch_requests.len() - before
             );
         }
     }
@@ -386,21 +407,21 @@
 /// client that came before the agent's answer was sent to a server that drained.
 #[test]
 fn a_process_that_starts_hears_discovery_before_its_first_client() {
-    let held = || list(1, true, (0..2).map(|n| host(n, "ready")).collect());
+    let held = || server_list(1, true, (0..2).map(|n| host_entry(n, "ready")).collect());
     for drained in 0..2 {
-        let mut stand = Stand::unheard(7, &settings(), 256, held());
-        let client = stand.call("order");
-        let ping = stand.open("PING\r\n");
-        assert_eq!((stand.dialled.len(), stand.got(ping).as_str()), (0, ""));
-        told(&mut stand, vec![host(drained, "draining")]);
-        assert_eq!(stand.dialled, [9001 - drained]);
-        assert_eq!((stand.got(ping).as_str(), stand.got(client).as_str()), ("PONG\r\n", ""));
+        let mut stand = Harness::at_process_start(7, &settings(), 256, held());
+        let client = stand.start_call("order");
+        let ping = stand.connect_and_send("PING\r\n");
+        assert_eq!((stand.dialed_ports.len(), stand.received(ping).as_str()), (0, ""));
+        told(&mut stand, vec![host_entry(drained, "draining")]);
+        assert_eq!(stand.dialed_ports, [9001 - drained]);
+        assert_eq!((stand.received(ping).as_str(), stand.received(client).as_str()), ("PONG\r\n", ""));
     }
     // One that says nothing is not waited for: setting a call up must still be in time.
-    let mut stand = Stand::unheard(7, &settings(), 256, held());
-    let (client, gone) = (stand.call("feed"), stand.call("feed"));
-    stand.tell(Event::Closed(Endpoint::Client(gone), CloseKind::Graceful));
-    stand.later(0.15);
-    assert_eq!(stand.dialled.len(), 1, "for the one that stayed");
-    assert_eq!(stand.got(client), "");
+    let mut stand = Harness::at_process_start(7, &settings(), 256, held());
+    let (client, gone) = (stand.start_call("feed"), stand.start_call("feed"));
+    stand.deliver(Event::Closed(Endpoint::Client(gone), CloseKind::Graceful));
+    stand.advance(0.15);
+    assert_eq!(stand.dialed_ports.len(), 1, "for the one that stayed");
+    assert_eq!(stand.received(client), "");
 }
--- a/crates/dewhead-proxy/tests/reducer.rs
+++ b/crates/dewhead-proxy/tests/reducer.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{discovery, host, list, Stand};
+use common::{discovery_address, host_entry, server_list, Harness};
 use dewhead_proxy::reducer::{CloseKind, Endpoint, Event};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -12,62 +12,61 @@
 fn keeps_rules(seed: u64) -> bool {
     let mut dice = oorandom::Rand64::new(u128::from(seed));
     let mut health = ["ready"; 6];
-    let mut stand = Stand::ready(6);
+    let mut stand = Harness::with_ready_servers(6);
     let mut version = 1;
     let mut follows = 0;
     // When each call was taken, by client slot; out of it once the client is closed.
     let mut taken: BTreeMap<usize, f64> = BTreeMap::new();
     for _ in 0..600 {
-        if stand.follows.len() > follows {
+        if stand.watch_requests.len() > follows {
             // A watch that is opened, also anew after a silence, tells the whole list.
-            follows = stand.follows.len();
-            let whole = list(version, true, (0..6).map(|at| host(at, health[at])).collect());
-            stand.watch(&whole.to_string());
+            follows = stand.watch_requests.len();
+            let whole = server_list(version, true, (0..6).map(|at| host_entry(at, health[at])).collect());
+            stand.open_watch(&whole.to_string());
         }
         let pick = |dice: &mut oorandom::Rand64, keys: Vec<usize>| {
             (!keys.is_empty()).then(|| keys[dice.rand_range(0..keys.len() as u64) as usize])
         };
-        let (clients, legs) =
-            (stand.clients.keys().copied().collect(), stand.servers.keys().copied().collect());
+        let (clients, legs) = (stand.clients.keys().copied().collect(), stand.legs.keys().copied().collect());
         let (client, leg) = (pick(&mut dice, clients), pick(&mut dice, legs));
-        let before = stand.dialled.len();
+        let before = stand.dialed_ports.len();
         match (dice.rand_range(0..16), client, leg) {
             (0 | 1, ..) => {
                 let kind = ["feed", "order", "note", "none"][dice.rand_range(0..4) as usize];
                 if stand.accepting {
-                    let slot = stand.call(kind);
+                    let slot = stand.start_call(kind);
                     taken.insert(slot, stand.now);
                 }
             }
-            (2, Some(client), _) => stand.client_says(client, "M 1 x\r\nM 2"),
+            (2, Some(client), _) => stand.client_sends(client, "M 1 x\r\nM 2"),
             (3, Some(client), _) => {
                 let how = if dice.rand_float() < 0.5 { CloseKind::Graceful } else { CloseKind::Abortive };
-                stand.tell(Event::Closed(Endpoint::Client(client), how));
+                stand.deliver(Event::Closed(Endpoint::Client(client), how));
             }
-            (4 | 5, _, Some(leg)) => stand.connected(leg),
-            (6 | 7, _, Some(leg)) => stand.server_says(leg, "UP 77\r\nLOAD 9000.5\r\n"),
+            (4 | 5, _, Some(leg)) => stand.connect_leg(leg),
+            (6 | 7, _, Some(leg)) => stand.server_sends(leg, "UP 77\r\nLOAD 9000.5\r\n"),
             (8, _, Some(leg)) => {
                 let said = ["BUSY\r\n", "ERR\r\n", "MOVE\r\n", "BYE\r\n", "odd\r\n", "M half", "UP"];
-                stand.server_says(leg, said[dice.rand_range(0..said.len() as u64) as usize]);
+                stand.server_sends(leg, said[dice.rand_range(0..said.len() as u64) as usize]);
             }
-            (9, _, Some(leg)) => stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful)),
-            (10, _, Some(leg)) => stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Abortive)),
-            (11, _, Some(leg)) => stand.tell(Event::ConnectFailed(leg)),
-            (12, ..) if stand.watching => {
+            (9, _, Some(leg)) => stand.deliver(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful)),
+            (10, _, Some(leg)) => stand.deliver(Event::Closed(Endpoint::Server(leg), CloseKind::Abortive)),
+            (11, _, Some(leg)) => stand.deliver(Event::ConnectFailed(leg)),
+            (12, ..) if stand.watch_open => {
                 let at = dice.rand_range(0..6) as usize;
                 health[at] = ["ready", "draining", "gone"][dice.rand_range(0..3) as usize];
                 version += 1;
-                let line = format!("{}\n", list(version, false, vec![host(at, health[at])]));
-                stand.tell(Event::WatchBytes(line.as_bytes()));
+                let line = format!("{}\n", server_list(version, false, vec![host_entry(at, health[at])]));
+                stand.deliver(Event::WatchBytes(line.as_bytes()));
             }
-            _ => stand.later(dice.rand_float() * 0.3),
+            _ => stand.advance(dice.rand_float() * 0.3),
         }
-        for port in &stand.dialled[before..] {
+        for port in &stand.dialed_ports[before..] {
             assert_eq!(health[port - 9000], "ready", "rule 3: a leg to a server that drains or is gone");
         }
         taken.retain(|slot, _| stand.clients.contains_key(slot));
         for (slot, at) in &taken {
-            let got = stand.got(*slot);
+            let got = stand.received(*slot);
             let answered = got.starts_with("UP ") || got.starts_with("BUSY") || got.starts_with("ERR");
             assert!(answered || stand.now < at + 1.5, "rule 1: no answer by the guard time");
             let last_words =
@@ -77,9 +76,9 @@
         }
     }
     for client in stand.clients.keys().copied().collect::<Vec<_>>() {
-        stand.tell(Event::Closed(Endpoint::Client(client), CloseKind::Graceful));
+        stand.deliver(Event::Closed(Endpoint::Client(client), CloseKind::Graceful));
     }
-    stand.later(10.0);
+    stand.advance(10.0);
     assert_eq!(
         stand.reducer.violations(),
         0,
@@ -100,11 +99,11 @@
 
 #[test]
 fn the_head_goes_on_with_another_waiting_time_only() {
-    let mut stand = Stand::ready(1);
-    stand.call("feed");
-    let leg = stand.leg();
-    stand.connected(leg);
-    let (figure, got) = (stand.servers[&leg].figure, stand.servers[&leg].got.clone());
+    let mut stand = Harness::with_ready_servers(1);
+    stand.start_call("feed");
+    let leg = stand.last_leg();
+    stand.connect_leg(leg);
+    let (figure, got) = (stand.legs[&leg].timeout_ms, stand.legs[&leg].received.clone());
     assert!((1..=1500).contains(&figure));
     let line = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=shop-a,d=1500,g=5c0f6e1a2b3d4c59,x=1\r\n";
     assert_eq!(String::from_utf8_lossy(&got), line.replace("1500", &figure.to_string()));
@@ -113,131 +112,136 @@
 /// Whether a once-only call may be sent again hangs on the head's last byte alone.
 #[test]
 fn a_once_only_call_is_sent_again_only_if_it_never_ran() {
-    let mut stand = Stand::ready(3);
-    let client = stand.call("order");
-    let leg = stand.leg();
-    stand.tell(Event::Connected(leg));
-    stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Abortive));
-    assert_eq!(stand.dialled.len(), 2, "broken before the last byte: it never ran");
-    let leg = stand.leg();
-    stand.connected(leg);
-    stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Abortive));
-    assert_eq!(stand.dialled.len(), 2, "broken after it: it may have run");
-    assert_eq!(stand.got(client), "ERR\r\n");
+    let mut stand = Harness::with_ready_servers(3);
+    let client = stand.start_call("order");
+    let leg = stand.last_leg();
+    stand.deliver(Event::Connected(leg));
+    stand.deliver(Event::Closed(Endpoint::Server(leg), CloseKind::Abortive));
+    assert_eq!(stand.dialed_ports.len(), 2, "broken before the last byte: it never ran");
+    let leg = stand.last_leg();
+    stand.connect_leg(leg);
+    stand.deliver(Event::Closed(Endpoint::Server(leg), CloseKind::Abortive));
+    assert_eq!(stand.dialed_ports.len(), 2, "broken after it: it may have run");
+    assert_eq!(stand.received(client), "ERR\r\n");
 }
 
 #[test]
 fn every_bad_answer_of_a_server_is_a_failed_leg() {
     for said in ["odd\r\n", "ERR\r\n", "BYE\r\n", &"x".repeat(5000)] {
-        let mut stand = Stand::ready(2);
-        let client = stand.call("order");
-        let leg = stand.leg();
-        stand.connected(leg);
-        stand.server_says(leg, said);
-        assert_eq!((stand.got(client).as_str(), stand.servers.len()), ("ERR\r\n", 0));
+        let mut stand = Harness::with_ready_servers(2);
+        let client = stand.start_call("order");
+        let leg = stand.last_leg();
+        stand.connect_leg(leg);
+        stand.server_sends(leg, said);
+        assert_eq!((stand.received(client).as_str(), stand.legs.len()), ("ERR\r\n", 0));
     }
 }
 
 #[test]
 fn a_client_moves_only_between_two_lines() {
-    let mut stand = Stand::ready(2);
-    let (client, leg) = stand.standing();
-    let other = 9001 + 9000 - stand.servers[&leg].to;
-    stand.server_says(leg, "M 1 hal");
-    let gone = list(2, false, vec![host(stand.servers[&leg].to - 9000, "gone")]);
-    stand.watch(&gone.to_string());
-    assert_eq!(stand.got(client), "UP 1\r\nM 1 hal");
-    stand.server_says(leg, "f\r\nM 2");
-    assert_eq!(stand.got(client), "UP 1\r\nM 1 half\r\nMOVE\r\n");
-    assert!(stand.servers.is_empty() && stand.clients[&client].finished);
-    stand.call("feed");
-    assert_eq!(stand.dialled.last(), Some(&other));
+    let mut stand = Harness::with_ready_servers(2);
+    let (client, leg) = stand.establish_call();
+    let other = 9001 + 9000 - stand.legs[&leg].port;
+    stand.server_sends(leg, "M 1 hal");
+    let gone = server_list(2, false, vec![host_entry(stand.legs[&leg].port - 9000, "gone")]);
+    stand.open_watch(&gone.to_string());
+    assert_eq!(stand.received(client), "UP 1\r\nM 1 hal");
+    stand.server_sends(leg, "f\r\nM 2");
+    assert_eq!(stand.received(client), "UP 1\r\nM 1 half\r\nMOVE\r\n");
+    assert!(stand.legs.is_empty() && stand.clients[&client].write_shut_down);
+    stand.start_call("feed");
+    assert_eq!(stand.dialed_ports.last(), Some(&other));
 }
 
 /// Seen on no day yet, as the bench's servers end their lines: a move must not wait for ever for half a line.
 #[test]
 fn a_server_that_stops_within_a_line_does_not_hold_a_move_back() {
-    let mut stand = Stand::ready(1);
-    let (client, leg) = stand.standing();
-    stand.server_says(leg, "M 1 hal");
-    stand.client_says(client, "M 2\r\n");
-    stand.later(3.0);
-    assert!(!stand.servers.is_empty(), "it waits for the line");
-    stand.later(1.0);
-    assert!(stand.servers.is_empty() && stand.clients[&client].finished);
-    assert_eq!(stand.got(client), "UP 1\r\nM 1 hal");
+    let mut stand = Harness::with_ready_servers(1);
+    let (client, leg) = stand.establish_call();
+    stand.server_sends(leg, "M 1 hal");
+    stand.client_sends(client, "M 2\r\n");
+    stand.advance(3.0);
+    assert!(!stand.legs.is_empty(), "it waits for the line");
+    stand.advance(1.0);
+    assert!(stand.legs.is_empty() && stand.clients[&client].write_shut_down);
+    assert_eq!(stand.received(client), "UP 1\r\nM 1 hal");
 }
 
 #[test]
 fn a_silent_connection_is_moved_and_an_answering_one_is_not() {
-    let mut stand = Stand::ready(1);
-    let ((quiet, _), (well, leg)) = (stand.standing(), stand.standing());
+    let mut stand = Harness::with_ready_servers(1);
+    let ((quiet, _), (well, leg)) = (stand.establish_call(), stand.establish_call());
     // Waited for as long as a guard time, the connections of a lost zone stood at nothing for three seconds each.
     for beat in 0..6 {
-        stand.client_says(quiet, "M\r\n");
-        stand.client_says(well, "M\r\n");
-        stand.server_says(leg, "M\r\n");
-        stand.later(0.5);
-        assert_eq!(stand.got(quiet).ends_with("MOVE\r\n"), beat >= 1, "a line may be held back for a second");
+        stand.client_sends(quiet, "M\r\n");
+        stand.client_sends(well, "M\r\n");
+        stand.server_sends(leg, "M\r\n");
+        stand.advance(0.5);
+        assert_eq!(
+            stand.received(quiet).ends_with("MOVE\r\n"),
+            beat >= 1,
+            "a line may be held back for a second"
+        );
         if beat == 1 {
-            stand.tell(Event::Closed(Endpoint::Client(quiet), CloseKind::Graceful));
+            stand.deliver(Event::Closed(Endpoint::Client(quiet), CloseKind::Graceful));
             break;
         }
     }
-    assert_eq!(stand.got(well), "UP 1\r\nM\r\nM\r\n");
+    assert_eq!(stand.received(well), "UP 1\r\nM\r\nM\r\n");
 }
 
 #[test]
 fn either_sides_end_ends_the_other_in_the_same_way() {
-    let mut stand = Stand::ready(1);
-    let (client, leg) = stand.standing();
-    stand.server_says(leg, "BYE\r\n");
-    stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful));
-    assert_eq!(stand.got(client), "UP 1\r\nBYE\r\n");
-    assert!(stand.clients[&client].finished && stand.servers.is_empty());
-    let (client, leg) = stand.standing();
-    stand.tell(Event::Closed(Endpoint::Client(client), CloseKind::Graceful));
-    assert!(stand.servers[&leg].finished, "the client's end goes on");
-    stand.server_says(leg, "M last\r\n");
-    assert_eq!(stand.got(client), "UP 1\r\nM last\r\n");
-    stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful));
-    assert_eq!(stand.past.last().unwrap().closed, Some(CloseKind::Graceful));
-    let (client, leg) = stand.standing();
-    stand.tell(Event::Closed(Endpoint::Client(client), CloseKind::Abortive));
-    assert!(!stand.servers.contains_key(&leg));
-    assert_eq!(stand.past.last().unwrap().closed, Some(CloseKind::Abortive));
+    let mut stand = Harness::with_ready_servers(1);
+    let (client, leg) = stand.establish_call();
+    stand.server_sends(leg, "BYE\r\n");
+    stand.deliver(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful));
+    assert_eq!(stand.received(client), "UP 1\r\nBYE\r\n");
+    assert!(stand.clients[&client].write_shut_down && stand.legs.is_empty());
+    let (client, leg) = stand.establish_call();
+    stand.deliver(Event::Closed(Endpoint::Client(client), CloseKind::Graceful));
+    assert!(stand.legs[&leg].write_shut_down, "the client's end goes on");
+    stand.server_sends(leg, "M last\r\n");
+    assert_eq!(stand.received(client), "UP 1\r\nM last\r\n");
+    stand.deliver(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful));
+    assert_eq!(stand.closed_clients.last().unwrap().closed, Some(CloseKind::Graceful));
+    let (client, leg) = stand.establish_call();
+    stand.deliver(Event::Closed(Endpoint::Client(client), CloseKind::Abortive));
+    assert!(!stand.legs.contains_key(&leg));
+    assert_eq!(stand.closed_clients.last().unwrap().closed, Some(CloseKind::Abortive));
 }
 
 /// Seen on days with servers that drop connections: a client cut off waits longer than one that is told to move.
 #[test]
 fn a_client_whose_server_is_lost_is_told_to_move_unless_within_a_line() {
     for how in [CloseKind::Abortive, CloseKind::Graceful] {
-        let mut stand = Stand::ready(1);
-        let (client, leg) = stand.standing();
-        stand.tell(Event::Closed(Endpoint::Server(leg), how));
-        assert_eq!(stand.got(client), "UP 1\r\nMOVE\r\n");
-        let mut stand = Stand::ready(1);
-        let (client, leg) = stand.standing();
-        stand.server_says(leg, "M 1 hal");
-        stand.tell(Event::Closed(Endpoint::Server(leg), how));
-        let ended = stand.clients.get(&client).is_none_or(|c| c.finished && c.got == b"UP 1\r\nM 1 hal");
+        let mut stand = Harness::with_ready_servers(1);
+        let (client, leg) = stand.establish_call();
+        stand.deliver(Event::Closed(Endpoint::Server(leg), how));
+        assert_eq!(stand.received(client), "UP 1\r\nMOVE\r\n");
+        let mut stand = Harness::with_ready_servers(1);
+        let (client, leg) = stand.establish_call();
+        stand.server_sends(leg, "M 1 hal");
+        stand.deliver(Event::Closed(Endpoint::Server(leg), how));
+        let ended =
+            stand.clients.get(&client).is_none_or(|c| c.write_shut_down && c.received == b"UP 1\r\nM 1 hal");
         assert!(ended, "ended as the server was, with no word amid a line");
     }
 }
 
 #[test]
 fn a_connection_from_before_goes_back_to_its_server_and_nowhere_else() {
-    let mut stand = Stand::ready(3);
+    let mut stand = Harness::with_ready_servers(3);
     let line = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=shop-a,d=4294967,at=s-2\r\n";
-    let client = stand.open(line);
-    let leg = stand.leg();
-    stand.tell(Event::ConnectFailed(leg));
-    stand.later(0.2);
-    assert_eq!(stand.dialled, [9002, 9002]);
-    let leg = stand.leg();
-    stand.connected(leg);
-    stand.server_says(leg, "UP 5\r\n");
-    assert_eq!(stand.got(client), "UP 5\r\n");
+    let client = stand.connect_and_send(line);
+    let leg = stand.last_leg();
+    stand.deliver(Event::ConnectFailed(leg));
+    stand.advance(0.2);
+    assert_eq!(stand.dialed_ports, [9002, 9002]);
+    let leg = stand.last_leg();
+    stand.connect_leg(leg);
+    stand.server_sends(leg, "UP 5\r\n");
+    assert_eq!(stand.received(client), "UP 5\r\n");
 }
 
 #[test]
@@ -253,85 +257,86 @@
         format!("{head} c=feed,d=100\r\nM early\r\n"),
         "x".repeat(5000),
     ] {
-        let mut stand = Stand::ready(1);
-        let client = stand.open(&line);
-        assert_eq!(stand.got(client), "ERR\r\n", "{line}");
-        assert!(stand.servers.is_empty() && stand.clients[&client].finished);
-        stand.later(10.0);
+        let mut stand = Harness::with_ready_servers(1);
+        let client = stand.connect_and_send(&line);
+        assert_eq!(stand.received(client), "ERR\r\n", "{line}");
+        assert!(stand.legs.is_empty() && stand.clients[&client].write_shut_down);
+        stand.advance(10.0);
         assert!(stand.clients.is_empty(), "the socket is given back even if the client stays");
     }
-    let mut stand = Stand::ready(1);
-    let client = stand.call("feed");
-    stand.client_says(client, "M early\r\n");
-    assert_eq!(stand.got(client), "ERR\r\n", "bytes before UP");
+    let mut stand = Harness::with_ready_servers(1);
+    let client = stand.start_call("feed");
+    stand.client_sends(client, "M early\r\n");
+    assert_eq!(stand.received(client), "ERR\r\n", "bytes before UP");
 }
 
 /// On the rude days such connections were owed an end within three seconds, and had it after the longest guard time.
 #[test]
 fn who_begins_nothing_is_ended_within_three_seconds_whatever_it_says_meanwhile() {
-    let mut stand = Stand::ready(1);
-    let (silent, half, pings) = (stand.connect(), stand.open("OPEN 9b1f03aa"), stand.connect());
+    let mut stand = Harness::with_ready_servers(1);
+    let (silent, half, pings) = (stand.connect(), stand.connect_and_send("OPEN 9b1f03aa"), stand.connect());
     for beat in 0..29 {
         if beat % 5 == 0 {
-            stand.client_says(half, "5");
+            stand.client_sends(half, "5");
         }
         if beat % 9 == 0 {
-            stand.client_says(pings, "PING\r\n");
+            stand.client_sends(pings, "PING\r\n");
         }
-        stand.later(0.1);
+        stand.advance(0.1);
     }
     assert!(!stand.clients.contains_key(&silent) && !stand.clients.contains_key(&pings));
-    assert_eq!(stand.got(half), "ERR\r\n");
-    let flood = stand.open(&"PING\r\n".repeat(500));
-    assert!(stand.got(flood).len() < 50 && stand.got(flood).ends_with("ERR\r\n"));
-    let nowhere = stand.open("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,d=4294967,at=s-9\r\n");
-    (0..29).for_each(|_| stand.later(0.1));
-    assert_eq!(stand.got(nowhere), "ERR\r\n", "put back at a server that nobody knows");
+    assert_eq!(stand.received(half), "ERR\r\n");
+    let flood = stand.connect_and_send(&"PING\r\n".repeat(500));
+    assert!(stand.received(flood).len() < 50 && stand.received(flood).ends_with("ERR\r\n"));
+    let nowhere =
+        stand.connect_and_send("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,d=4294967,at=s-9\r\n");
+    (0..29).for_each(|_| stand.advance(0.1));
+    assert_eq!(stand.received(nowhere), "ERR\r\n", "put back at a server that nobody knows");
 }
 
 #[test]
 fn the_id_of_another_open_request_gets_no_leg_until_that_one_has_ended() {
-    let mut stand = Stand::ready(1);
+    let mut stand = Harness::with_ready_servers(1);
     let line = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,d=1500\r\n";
-    let first = stand.open(line);
-    let second = stand.open(&line.replace("9b1f", "9B1F"));
-    assert_eq!((stand.got(second).as_str(), stand.dialled.len()), ("ERR\r\n", 1));
-    let leg = stand.leg();
-    stand.connected(leg);
-    stand.server_says(leg, "UP 1\r\n");
-    let third = stand.open(line);
-    assert_eq!((stand.got(third).as_str(), stand.dialled.len()), ("ERR\r\n", 1));
-    stand.server_says(leg, "BYE\r\n");
-    stand.tell(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful));
-    assert_eq!(stand.got(first), "UP 1\r\nBYE\r\n");
-    stand.open(line);
-    assert_eq!(stand.dialled.len(), 2);
+    let first = stand.connect_and_send(line);
+    let second = stand.connect_and_send(&line.replace("9b1f", "9B1F"));
+    assert_eq!((stand.received(second).as_str(), stand.dialed_ports.len()), ("ERR\r\n", 1));
+    let leg = stand.last_leg();
+    stand.connect_leg(leg);
+    stand.server_sends(leg, "UP 1\r\n");
+    let third = stand.connect_and_send(line);
+    assert_eq!((stand.received(third).as_str(), stand.dialed_ports.len()), ("ERR\r\n", 1));
+    stand.server_sends(leg, "BYE\r\n");
+    stand.deliver(Event::Closed(Endpoint::Server(leg), CloseKind::Graceful));
+    assert_eq!(stand.received(first), "UP 1\r\nBYE\r\n");
+    stand.connect_and_send(line);
+    assert_eq!(stand.dialed_ports.len(), 2);
 }
 
 /// Hundreds connect and say nothing, or do not go once they are answered, and the descriptors are theirs.
 #[test]
 fn those_who_only_hold_descriptors_give_them_up_to_usual_clients() {
-    let mut stand = Stand::ready(1);
+    let mut stand = Harness::with_ready_servers(1);
     let mut taken = 0;
     for round in 0..400 {
         if stand.accepting {
             if round % 2 == 0 {
                 stand.connect();
             } else {
-                stand.open("x\r\n");
+                stand.connect_and_send("x\r\n");
             }
         }
         if round % 8 == 0 {
             if stand.accepting {
-                let client = stand.call("feed");
-                assert!(stand.got(client).is_empty(), "a usual client found no room in round {round}");
-                let leg = stand.leg();
-                stand.connected(leg);
-                stand.server_says(leg, "UP 1\r\n");
+                let client = stand.start_call("feed");
+                assert!(stand.received(client).is_empty(), "a usual client found no room in round {round}");
+                let leg = stand.last_leg();
+                stand.connect_leg(leg);
+                stand.server_sends(leg, "UP 1\r\n");
                 taken += 1;
-                stand.tell(Event::Closed(Endpoint::Client(client), CloseKind::Abortive));
+                stand.deliver(Event::Closed(Endpoint::Client(client), CloseKind::Abortive));
             }
-            stand.later(0.05);
+            stand.advance(0.05);
         }
     }
     assert_eq!(taken, 50, "of as many usual clients");
@@ -339,28 +344,28 @@
 
 #[test]
 fn ping_is_answered_once_there_is_a_list() {
-    let mut stand = Stand::new(256, serde_json::Value::Null);
-    let client = stand.open("PING\r\n");
-    assert_eq!(stand.got(client), "");
-    stand.watch(&list(3, true, vec![host(0, "ready")]).to_string());
-    let client = stand.open("PING\r\nPING\r\n");
-    assert_eq!(stand.got(client), "PONG\r\nPONG\r\n");
+    let mut stand = Harness::new(256, serde_json::Value::Null);
+    let client = stand.connect_and_send("PING\r\n");
+    assert_eq!(stand.received(client), "");
+    stand.open_watch(&server_list(3, true, vec![host_entry(0, "ready")]).to_string());
+    let client = stand.connect_and_send("PING\r\nPING\r\n");
+    assert_eq!(stand.received(client), "PONG\r\nPONG\r\n");
 }
 
 #[test]
 fn without_descriptors_calls_are_rejected_and_then_not_accepted() {
-    let mut stand = Stand::new(64, list(1, true, vec![host(0, "ready")]));
+    let mut stand = Harness::new(64, server_list(1, true, vec![host_entry(0, "ready")]));
     let mut busy = 0;
     while stand.accepting {
-        let client = stand.call("feed");
-        busy += usize::from(stand.got(client).starts_with("BUSY"));
+        let client = stand.start_call("feed");
+        busy += usize::from(stand.received(client).starts_with("BUSY"));
     }
     assert!(busy > 0);
     let (sessions, legs, _) = stand.reducer.open_counts();
     assert!(sessions + legs <= 64);
     let all: Vec<usize> = stand.clients.keys().copied().collect();
     all.into_iter()
-        .for_each(|client| stand.tell(Event::Closed(Endpoint::Client(client), CloseKind::Graceful)));
+        .for_each(|client| stand.deliver(Event::Closed(Endpoint::Client(client), CloseKind::Graceful)));
     assert!(stand.accepting, "accepted again once descriptors are back");
 }
 
@@ -371,60 +376,65 @@
         "HTTP/1.1 200 OK\r\n\r\nnot json\n".to_owned(),
         "no http at all\r\n\r\n".to_owned(),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".to_owned(),
-        format!("HTTP/1.1 200 OK\r\n\r\n{}\n", list(9, true, vec![host(0, "odd")])),
+        format!("HTTP/1.1 200 OK\r\n\r\n{}\n", server_list(9, true, vec![host_entry(0, "odd")])),
         "HTTP/1.1 200 OK\r\n\r\n{\"seq\":9,\"whole\":true}\n".to_owned(),
         // A line without an end.
         format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(2 << 20)),
         // An older version than is held.
-        format!("HTTP/1.1 200 OK\r\n\r\n{}\n", list(0, true, vec![])),
+        format!("HTTP/1.1 200 OK\r\n\r\n{}\n", server_list(0, true, vec![])),
     ] {
-        let mut stand = Stand::ready(1);
-        stand.tell(Event::WatchOpened);
-        stand.tell(Event::WatchBytes(bad.as_bytes()));
-        stand.call("feed");
-        assert_eq!(stand.dialled, [9000], "{bad}");
-        stand.later(4.0);
-        stand.later(4.0);
-        assert!(stand.follows.len() > 1 && stand.follows.iter().all(|f| *f == (discovery(1), 1)), "{bad}");
+        let mut stand = Harness::with_ready_servers(1);
+        stand.deliver(Event::WatchOpened);
+        stand.deliver(Event::WatchBytes(bad.as_bytes()));
+        stand.start_call("feed");
+        assert_eq!(stand.dialed_ports, [9000], "{bad}");
+        stand.advance(4.0);
+        stand.advance(4.0);
+        assert!(
+            stand.watch_requests.len() > 1
+                && stand.watch_requests.iter().all(|f| *f == (discovery_address(1), 1)),
+            "{bad}"
+        );
     }
 }
 
 /// Discovery's word counts as told six seconds after it was due, whether or not the watch brought it.
 #[test]
 fn a_watch_that_goes_silent_is_asked_for_twice_within_six_seconds() {
-    let mut stand = Stand::ready(1);
-    stand.watch("");
-    let before = stand.follows.len();
-    (0..30).for_each(|_| stand.later(0.1));
-    assert!(stand.follows.len() > before && !stand.watching, "asked again after three seconds");
-    (0..30).for_each(|_| stand.later(0.1));
-    assert!(stand.follows.len() > before + 1, "and again, as nobody answers");
+    let mut stand = Harness::with_ready_servers(1);
+    stand.open_watch("");
+    let before = stand.watch_requests.len();
+    (0..30).for_each(|_| stand.advance(0.1));
+    assert!(stand.watch_requests.len() > before && !stand.watch_open, "asked again after three seconds");
+    (0..30).for_each(|_| stand.advance(0.1));
+    assert!(stand.watch_requests.len() > before + 1, "and again, as nobody answers");
 }
 
 /// Proxies of a fleet that restarted in one moment, and a discovery that answers so many calls a second, ends each after
 /// two seconds and takes four times as many as it can answer in that time. How many have a list after each second.
 fn let_in(mode: &str, proxies: u64, a_second: f64, seconds: usize) -> Vec<usize> {
-    let told = list(2, true, vec![host(0, "ready"), host(1, "ready")]);
+    let told = server_list(2, true, vec![host_entry(0, "ready"), host_entry(1, "ready")]);
     let mut settings = common::settings();
     settings["membershipMode"] = mode.into();
-    let known = list(1, true, vec![host(0, "ready")]);
-    let mut fleet: Vec<Stand> =
-        (0..proxies).map(|seed| Stand::unheard(u128::from(seed), &settings, 256, known.clone())).collect();
+    let known = server_list(1, true, vec![host_entry(0, "ready")]);
+    let mut fleet: Vec<Harness> = (0..proxies)
+        .map(|seed| Harness::at_process_start(u128::from(seed), &settings, 256, known.clone()))
+        .collect();
     let mut asked = vec![0; fleet.len()];
     // Whose call, its number, when it came, and whether it was ended.
     let mut queue: std::collections::VecDeque<(usize, usize, f64, bool)> = Default::default();
-    let turn_away = |stand: &mut Stand| {
-        stand.tell(Event::WatchOpened);
-        stand.tell(Event::WatchBytes(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
+    let turn_away = |stand: &mut Harness| {
+        stand.deliver(Event::WatchOpened);
+        stand.deliver(Event::WatchBytes(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
     };
     let mut held = std::collections::BTreeSet::new();
     let (mut by_second, mut done) = (Vec::new(), 0.0);
     for step in 0..seconds * 20 {
         let now = step as f64 * 0.05;
         for (at, stand) in fleet.iter_mut().enumerate() {
-            if stand.follows.len() > asked[at] {
-                asked[at] = stand.follows.len();
-                stand.watching = true;
+            if stand.watch_requests.len() > asked[at] {
+                asked[at] = stand.watch_requests.len();
+                stand.watch_open = true;
                 if (queue.len() as f64) < 8.0 * a_second {
                     queue.push_back((at, asked[at], now, false));
                 } else {
@@ -436,7 +446,7 @@
             queue.iter_mut().filter(|(_, _, since, ended)| !ended && now - since > 2.0)
         {
             *ended = true;
-            if fleet[*at].watching && asked[*at] == *number && now > *since {
+            if fleet[*at].watch_open && asked[*at] == *number && now > *since {
                 turn_away(&mut fleet[*at]);
             }
         }
@@ -445,17 +455,17 @@
         while done >= 1.0 {
             done -= 1.0;
             let Some((at, number, _, ended)) = queue.pop_front() else { break };
-            if !ended && fleet[at].watching && asked[at] == number {
-                fleet[at].watch(&told.to_string());
+            if !ended && fleet[at].watch_open && asked[at] == number {
+                fleet[at].open_watch(&told.to_string());
                 held.insert(at);
             }
         }
         for (at, stand) in fleet.iter_mut().enumerate() {
             // What keeps a watch alive.
             if held.contains(&at) && step % 20 == 0 {
-                stand.tell(Event::WatchBytes(b"\n"));
+                stand.deliver(Event::WatchBytes(b"\n"));
             }
-            stand.later(0.05);
+            stand.advance(0.05);
         }
         if step % 20 == 19 {
             by_second.push(held.len());
@@ -482,18 +492,18 @@
 /// A discovery that had turned one call away and then was gone was asked as seldom as one that still did.
 #[test]
 fn only_the_last_call_tells_whether_discovery_turns_calls_away() {
-    let mut stand = Stand::ready(1);
-    let before = stand.follows.len();
-    stand.watching = true;
-    stand.tell(Event::WatchOpened);
-    stand.tell(Event::WatchBytes(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
-    (0..48).for_each(|_| stand.later(0.1));
-    assert_eq!(stand.follows.len(), before, "it is left alone for nearly five seconds");
-    (0..9).for_each(|_| stand.later(0.1));
-    assert_eq!(stand.follows.len(), before + 1);
-    stand.tell(Event::WatchLost);
-    (0..4).for_each(|_| stand.later(0.1));
-    assert_eq!(stand.follows.len(), before + 2, "gone, it is asked again soon");
+    let mut stand = Harness::with_ready_servers(1);
+    let before = stand.watch_requests.len();
+    stand.watch_open = true;
+    stand.deliver(Event::WatchOpened);
+    stand.deliver(Event::WatchBytes(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
+    (0..48).for_each(|_| stand.advance(0.1));
+    assert_eq!(stand.watch_requests.len(), before, "it is left alone for nearly five seconds");
+    (0..9).for_each(|_| stand.advance(0.1));
+    assert_eq!(stand.watch_requests.len(), before + 1);
+    stand.deliver(Event::WatchLost);
+    (0..4).for_each(|_| stand.advance(0.1));
+    assert_eq!(stand.watch_requests.len(), before + 2, "gone, it is asked again soon");
 }
 
 /// A reload ended the process, and its successor would have gone on asking the old address for versions that the new
@@ -501,29 +511,33 @@
 #[test]
 fn a_new_discovery_is_followed_at_once_whatever_it_counts() {
     for opened in [false, true] {
-        let mut stand = Stand::new(256, list(40, true, (0..3).map(|n| host(n, "ready")).collect()));
-        let (client, leg) = stand.standing();
-        let held = stand.servers[&leg].to;
+        let mut stand =
+            Harness::new(256, server_list(40, true, (0..3).map(|n| host_entry(n, "ready")).collect()));
+        let (client, leg) = stand.establish_call();
+        let held = stand.legs[&leg].port;
         if opened {
-            stand.watch(&list(41, false, vec![]).to_string());
+            stand.open_watch(&server_list(41, false, vec![]).to_string());
         } else {
-            stand.tell(Event::WatchLost);
+            stand.deliver(Event::WatchLost);
         }
-        stand.tell(Event::Reconfigured(discovery(2), 200));
-        assert_eq!(stand.follows.last(), Some(&(discovery(2), 0)));
-        stand.call("feed");
-        assert_eq!(stand.dialled.len(), 2, "the list held serves till the new one comes");
+        stand.deliver(Event::Reconfigured(discovery_address(2), 200));
+        assert_eq!(stand.watch_requests.last(), Some(&(discovery_address(2), 0)));
+        stand.start_call("feed");
+        assert_eq!(stand.dialed_ports.len(), 2, "the list held serves till the new one comes");
         let others: Vec<usize> = (0..3).filter(|n| 9000 + n != held).collect();
-        stand.watch(&list(3, true, vec![host(held - 9000, "ready"), host(others[0], "ready")]).to_string());
+        stand.open_watch(
+            &server_list(3, true, vec![host_entry(held - 9000, "ready"), host_entry(others[0], "ready")])
+                .to_string(),
+        );
         for _ in 0..12 {
-            stand.call("feed");
-            assert_ne!(stand.dialled.last(), Some(&(9000 + others[1])), "what it does not name is gone");
+            stand.start_call("feed");
+            assert_ne!(stand.dialed_ports.last(), Some(&(9000 + others[1])), "what it does not name is gone");
         }
-        assert_eq!(stand.got(client), "UP 1\r\n", "what stands stays");
-        (0..30).for_each(|_| stand.later(0.1));
+        assert_eq!(stand.received(client), "UP 1\r\n", "what stands stays");
+        (0..30).for_each(|_| stand.advance(0.1));
         assert_eq!(
-            stand.follows.last(),
-            Some(&(discovery(2), 3)),
+            stand.watch_requests.last(),
+            Some(&(discovery_address(2), 3)),
             "silent, it is asked again where it is now"
         );
     }
@@ -531,53 +545,55 @@
 
 #[test]
 fn a_stop_sends_everybody_away_politely_and_ends() {
-    let mut stand = Stand::ready(2);
-    let clients: Vec<usize> = (0..40).map(|_| stand.standing().0).collect();
-    stand.tell(Event::Stop);
-    stand.later(0.4);
+    let mut stand = Harness::with_ready_servers(2);
+    let clients: Vec<usize> = (0..40).map(|_| stand.establish_call().0).collect();
+    stand.deliver(Event::Stop);
+    stand.advance(0.4);
     assert!(
-        clients.iter().all(|c| !stand.got(*c).contains("MOVE")),
+        clients.iter().all(|c| !stand.received(*c).contains("MOVE")),
         "others still come: who moves now may come back"
     );
-    let (late, _) = stand.standing();
+    let (late, _) = stand.establish_call();
     let mut moved = Vec::new();
     for _ in 0..20 {
-        stand.later(0.1);
-        let now = stand.clients.iter().filter(|(_, c)| c.got.ends_with(b"MOVE\r\n")).map(|(slot, _)| *slot);
+        stand.advance(0.1);
+        let now =
+            stand.clients.iter().filter(|(_, c)| c.received.ends_with(b"MOVE\r\n")).map(|(slot, _)| *slot);
         let now: Vec<usize> = now.collect();
-        now.iter().for_each(|c| stand.tell(Event::Closed(Endpoint::Client(*c), CloseKind::Graceful)));
+        now.iter().for_each(|c| stand.deliver(Event::Closed(Endpoint::Client(*c), CloseKind::Graceful)));
         moved.push(now.len());
     }
     assert_eq!(moved.iter().sum::<usize>(), 41, "all of them, {late} too");
     assert!(moved.iter().filter(|n| **n > 0).count() > 4, "not all at once: {moved:?}");
-    assert!(stand.exit);
+    assert!(stand.exited);
 }
 
 /// Seen on loaded days: servers tell nothing of what messages take, lines come back at once all the same, and the
 /// module kept sending to servers that were overdriven. Their set-ups take several times as long as usual.
 #[test]
 fn a_server_whose_set_ups_take_much_longer_than_usual_is_relieved() {
-    let mut stand = Stand::ready(2);
-    let setups = |stand: &mut Stand, count: usize, slow: f64| {
+    let mut stand = Harness::with_ready_servers(2);
+    let setups = |stand: &mut Harness, count: usize, slow: f64| {
         for _ in 0..count {
-            let client = stand.call("feed");
-            let leg = stand.leg();
-            stand.connected(leg);
-            let at_slow = stand.servers[&leg].to == 9000;
-            stand.later(if at_slow { slow } else { 0.01 });
-            stand.server_says(leg, "UP 1\r\nLOAD 100000\r\n");
+            let client = stand.start_call("feed");
+            let leg = stand.last_leg();
+            stand.connect_leg(leg);
+            let at_slow = stand.legs[&leg].port == 9000;
+            stand.advance(if at_slow { slow } else { 0.01 });
+            stand.server_sends(leg, "UP 1\r\nLOAD 100000\r\n");
             assert!(stand.clients.contains_key(&client));
-            stand.later(0.1);
+            stand.advance(0.1);
         }
     };
-    let moved = |stand: &Stand| stand.clients.values().filter(|c| c.got.ends_with(b"MOVE\r\n")).count();
+    let moved =
+        |stand: &Harness| stand.clients.values().filter(|c| c.received.ends_with(b"MOVE\r\n")).count();
     setups(&mut stand, 40, 0.012);
     assert_eq!(moved(&stand), 0, "set-ups vary a little by themselves");
     setups(&mut stand, 12, 0.12);
     assert!(moved(&stand) > 0);
-    let before = stand.dialled.len();
+    let before = stand.dialed_ports.len();
     setups(&mut stand, 8, 0.12);
-    let to_slow = stand.dialled[before..].iter().filter(|port| **port == 9000).count();
+    let to_slow = stand.dialed_ports[before..].iter().filter(|port| **port == 9000).count();
     assert!(to_slow <= 2, "{to_slow} of 8 calls still went there");
 }
 
@@ -585,32 +601,33 @@
 #[test]
 fn a_slow_set_up_is_not_told_again_when_only_lines_pass() {
     // The other one has room, without which nobody is moved.
-    let mut stand = Stand::ready(2);
-    stand.later(5.0);
+    let mut stand = Harness::with_ready_servers(2);
+    stand.advance(5.0);
     let mut standing = Vec::new();
     for took in [0.01; 80].into_iter().chain([0.12; 16]) {
-        let client = stand.call("feed");
-        if stand.got(client).is_empty() {
-            let leg = stand.leg();
-            stand.connected(leg);
-            stand.later(if stand.servers[&leg].to == 9000 { took } else { 0.01 });
-            stand.server_says(leg, "UP 1\r\nLOAD 100000\r\n");
+        let client = stand.start_call("feed");
+        if stand.received(client).is_empty() {
+            let leg = stand.last_leg();
+            stand.connect_leg(leg);
+            stand.advance(if stand.legs[&leg].port == 9000 { took } else { 0.01 });
+            stand.server_sends(leg, "UP 1\r\nLOAD 100000\r\n");
             standing.push((client, leg));
         }
     }
-    let moved = |stand: &Stand| stand.clients.values().filter(|c| c.got.ends_with(b"MOVE\r\n")).count();
+    let moved =
+        |stand: &Harness| stand.clients.values().filter(|c| c.received.ends_with(b"MOVE\r\n")).count();
     assert!(moved(&stand) > 0, "the slow set-ups themselves were told");
     let mut told = Vec::new();
     standing.retain(|(client, leg)| {
-        stand.servers.contains_key(leg) && !stand.clients[client].got.ends_with(b"MOVE\r\n")
+        stand.legs.contains_key(leg) && !stand.clients[client].received.ends_with(b"MOVE\r\n")
     });
     for _ in 0..8 {
-        stand.later(1.0);
+        stand.advance(1.0);
         for (client, leg) in &standing {
-            stand.client_says(*client, "M\r\n");
-            stand.server_says(*leg, "M\r\n");
+            stand.client_sends(*client, "M\r\n");
+            stand.server_sends(*leg, "M\r\n");
         }
-        let stays = |client| stand.clients.get(client).is_some_and(|c| !c.got.ends_with(b"MOVE\r\n"));
+        let stays = |client| stand.clients.get(client).is_some_and(|c| !c.received.ends_with(b"MOVE\r\n"));
         told.push(standing.iter().filter(|(client, _)| stays(client)).count());
     }
     // The first rounds may still show what the last set-ups told.
@@ -623,17 +640,17 @@
 #[test]
 fn a_crowd_that_meets_a_proxy_just_started_is_not_turned_away() {
     for (age, turned_away) in [(0.5, false), (6.0, true)] {
-        let mut stand = Stand::ready(2);
-        stand.later(age);
+        let mut stand = Harness::with_ready_servers(2);
+        stand.advance(age);
         let mut busy = 0;
         for at in 0..40 {
-            let client = stand.call("feed");
-            busy += usize::from(stand.got(client).starts_with("BUSY"));
-            if stand.got(client).is_empty() {
-                let leg = stand.leg();
-                stand.connected(leg);
-                stand.later(0.004 * f64::from(at.min(25)));
-                stand.server_says(leg, "UP 1\r\nLOAD 100000\r\n");
+            let client = stand.start_call("feed");
+            busy += usize::from(stand.received(client).starts_with("BUSY"));
+            if stand.received(client).is_empty() {
+                let leg = stand.last_leg();
+                stand.connect_leg(leg);
+                stand.advance(0.004 * f64::from(at.min(25)));
+                stand.server_sends(leg, "UP 1\r\nLOAD 100000\r\n");
             }
         }
         assert_eq!(busy > 0, turned_away, "{busy} of forty, {age} s after the start");
@@ -644,24 +661,33 @@
 /// old one, and what it drained meanwhile went on being sent to.
 #[test]
 fn discovery_that_counts_anew_is_believed_but_brings_nothing_back() {
-    let held = |at: u64| list(at, true, vec![host(0, "ready"), host(1, "ready"), host(2, "draining")]);
-    let mut stand = Stand::new(256, held(40));
-    let to = |stand: &mut Stand| {
-        let before = stand.dialled.len();
+    let held = |at: u64| {
+        server_list(at, true, vec![host_entry(0, "ready"), host_entry(1, "ready"), host_entry(2, "draining")])
+    };
+    let mut stand = Harness::new(256, held(40));
+    let to = |stand: &mut Harness| {
+        let before = stand.dialed_ports.len();
         for _ in 0..30 {
-            stand.call("feed");
+            stand.start_call("feed");
         }
-        let mut to = stand.dialled[before..].to_vec();
+        let mut to = stand.dialed_ports[before..].to_vec();
         to.sort_unstable();
         to.dedup();
         to
     };
     assert_eq!(to(&mut stand), [9000, 9001]);
     // It counts from one: one server drains, one is drained no more or the list is old, and one is new.
-    let anew = vec![host(0, "ready"), host(1, "draining"), host(2, "ready"), host(3, "ready")];
-    stand.watch(&list(1, true, anew).to_string());
+    let anew = vec![
+        host_entry(0, "ready"),
+        host_entry(1, "draining"),
+        host_entry(2, "ready"),
+        host_entry(3, "ready"),
+    ];
+    stand.open_watch(&server_list(1, true, anew).to_string());
     assert_eq!(to(&mut stand), [9000, 9003]);
-    stand.tell(Event::WatchBytes(format!("{}\n", list(2, false, vec![host(2, "ready")])).as_bytes()));
+    stand.deliver(Event::WatchBytes(
+        format!("{}\n", server_list(2, false, vec![host_entry(2, "ready")])).as_bytes(),
+    ));
     assert_eq!(to(&mut stand), [9000, 9002, 9003], "a change names it, and it serves again");
 }
 
@@ -669,51 +695,52 @@
 #[test]
 fn a_drain_of_one_server_is_no_drain_of_another() {
     let named = |name: &str, n: usize, health: &str| {
-        let mut one = host(n, health);
+        let mut one = host_entry(n, health);
         one["host"] = name.into();
         one
     };
     let (one, other) = ("s-00009ebb", "s-00016d13");
-    let mut stand = Stand::new(256, list(1, true, vec![named(one, 0, "ready"), named(other, 1, "ready")]));
-    stand.watch(&list(2, false, vec![named(one, 0, "draining")]).to_string());
+    let mut stand =
+        Harness::new(256, server_list(1, true, vec![named(one, 0, "ready"), named(other, 1, "ready")]));
+    stand.open_watch(&server_list(2, false, vec![named(one, 0, "draining")]).to_string());
     for _ in 0..4 {
-        stand.call("feed");
+        stand.start_call("feed");
     }
-    assert_eq!(stand.dialled, vec![9001; 4], "all go to the one that does not drain");
+    assert_eq!(stand.dialed_ports, vec![9001; 4], "all go to the one that does not drain");
 }
 
 /// A list of 8,500 servers was over the longest line: it was asked for again for ever, and nobody was ever served.
 #[test]
 fn a_list_of_many_thousands_of_servers_is_taken_up() {
-    let mut stand = Stand::ready(1);
+    let mut stand = Harness::with_ready_servers(1);
     let many = (0..12_000).map(|n| {
-        let mut one = host(0, "ready");
+        let mut one = host_entry(0, "ready");
         one["host"] = format!("s-{n:08x}.some-hall.example").into();
         one
     });
-    stand.watch(&list(2, true, many.collect()).to_string());
+    stand.open_watch(&server_list(2, true, many.collect()).to_string());
     assert_eq!(stand.reducer.status(stand.now)["servers_ready"], 12_000);
 }
 
 /// One that is too long is refused, and what is held stays; it is not written over and over.
 #[test]
 fn a_list_that_is_too_long_leaves_what_is_held() {
-    let mut stand = Stand::ready(1);
-    let before = stand.follows.len();
-    stand.watching = true;
-    stand.tell(Event::WatchOpened);
-    stand.tell(Event::WatchBytes(b"HTTP/1.1 200 OK\r\n\r\n"));
+    let mut stand = Harness::with_ready_servers(1);
+    let before = stand.watch_requests.len();
+    stand.watch_open = true;
+    stand.deliver(Event::WatchOpened);
+    stand.deliver(Event::WatchBytes(b"HTTP/1.1 200 OK\r\n\r\n"));
     let piece = vec![b' '; 1 << 20];
     for _ in 0..6 {
-        if stand.watching {
-            stand.tell(Event::WatchBytes(&piece));
+        if stand.watch_open {
+            stand.deliver(Event::WatchBytes(&piece));
         }
     }
-    assert!(!stand.watching, "it is given up");
-    (0..48).for_each(|_| stand.later(0.1));
-    assert_eq!(stand.follows.len(), before, "and left alone for a while");
-    (0..9).for_each(|_| stand.later(0.1));
-    assert_eq!(stand.follows.len(), before + 1);
-    stand.call("feed");
-    assert_eq!(stand.dialled, [9000]);
+    assert!(!stand.watch_open, "it is given up");
+    (0..48).for_each(|_| stand.advance(0.1));
+    assert_eq!(stand.watch_requests.len(), before, "and left alone for a while");
+    (0..9).for_each(|_| stand.advance(0.1));
+    assert_eq!(stand.watch_requests.len(), before + 1);
+    stand.start_call("feed");
+    assert_eq!(stand.dialed_ports, [9000]);
 }
--- a/crates/dewhead-proxy/tests/sockets.rs
+++ b/crates/dewhead-proxy/tests/sockets.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::loopback::line;
-use common::{list, settings, ZONES};
+use common::{server_list, settings, ZONES};
 use dewhead_proxy::clock::Clock;
 use dewhead_proxy::event_loop::EventLoop;
 use dewhead_proxy::reducer::Reducer;
@@ -87,7 +87,7 @@
             json!({"host": host, "dial": of.local_addr().unwrap().to_string(), "site": ZONES[0], "block": 0,
                    "health": "ready", "share": share, "born_ms": 0})
         };
-        let told = list(5, true, vec![entry("s-1", &crowded, 0.1), entry("s-2", &empty, 0.9)]);
+        let told = server_list(5, true, vec![entry("s-1", &crowded, 0.1), entry("s-2", &empty, 0.9)]);
         let told_at = discovery.local_addr().unwrap();
         thread::spawn(move || serve(crowded, "UP 1\r\n"));
         thread::spawn(move || serve(empty, "UP 2\r\n"));
@@ -126,7 +126,7 @@
                        "health": "ready", "share": 1.0, "born_ms": 0});
     let told_at = discovery.local_addr().unwrap();
     thread::spawn(move || serve(servers, "UP 42\r\n"));
-    thread::spawn(move || tell(discovery, list(5, true, vec![entry])));
+    thread::spawn(move || tell(discovery, server_list(5, true, vec![entry])));
     let (at, mut stop, running) = proxy(settings(), told_at);
     let mut client = TcpStream::connect(at).unwrap();
     let mut lines = BufReader::new(client.try_clone().unwrap());
--- a/crates/dewhead-proxy/tests/stages.rs
+++ b/crates/dewhead-proxy/tests/stages.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{host, list, settings, Stand};
+use common::{host_entry, server_list, settings, Harness};
 use dewhead_proxy::control::protocol::{self, Request};
 use dewhead_proxy::lifecycle::stages::{Stage, StageAction, StageEvent, StageMachine};
 use dewhead_proxy::reducer::Event;
@@ -137,33 +137,34 @@
 
 #[test]
 fn a_drain_sends_all_away_over_its_time_and_can_be_taken_back() {
-    let mut stand = Stand::ready(3);
-    let clients: Vec<usize> = (0..40).map(|_| stand.standing().0).collect();
-    stand.tell(Event::Drain(20.0));
+    let mut stand = Harness::with_ready_servers(3);
+    let clients: Vec<usize> = (0..40).map(|_| stand.establish_call().0).collect();
+    stand.deliver(Event::Drain(20.0));
     let ping = stand.connect();
-    stand.client_says(ping, "PING\r\n");
-    assert_eq!(stand.got(ping), "", "a front is not told to go on");
+    stand.client_sends(ping, "PING\r\n");
+    assert_eq!(stand.received(ping), "", "a front is not told to go on");
     for _ in 0..100 {
-        stand.later(0.1);
+        stand.advance(0.1);
     }
-    let moved =
-        |stand: &Stand| clients.iter().filter(|c| stand.clients.get(c).is_none_or(|c| c.finished)).count();
+    let moved = |stand: &Harness| {
+        clients.iter().filter(|c| stand.clients.get(c).is_none_or(|c| c.write_shut_down)).count()
+    };
     let halfway = moved(&stand);
     assert!((10..=30).contains(&halfway), "{halfway} of 40 after half the time");
-    stand.tell(Event::Undrain);
+    stand.deliver(Event::Undrain);
     let ping = stand.connect();
-    stand.client_says(ping, "PING\r\n");
-    assert_eq!(stand.got(ping), "PONG\r\n");
+    stand.client_sends(ping, "PING\r\n");
+    assert_eq!(stand.received(ping), "PONG\r\n");
     for _ in 0..300 {
-        stand.later(0.1);
+        stand.advance(0.1);
     }
     assert_eq!(moved(&stand), halfway, "who had not left stays");
-    assert!(!stand.exit, "a drain is no end");
-    stand.tell(Event::Stop);
+    assert!(!stand.exited, "a drain is no end");
+    stand.deliver(Event::Stop);
     for _ in 0..40 {
-        stand.later(0.1);
+        stand.advance(0.1);
     }
-    assert!(stand.exit && moved(&stand) == 40);
+    assert!(stand.exited && moved(&stand) == 40);
 }
 
 #[test]
@@ -218,7 +219,8 @@
         json!({"name": "p", "listen": listen.to_string(), "discovery": closed, "seed": "7", "known": known,
                "control": control, "settings": settings()})
     };
-    std::fs::write(&path, configured(list(1, true, vec![host(1, "ready")])).to_string()).unwrap();
+    std::fs::write(&path, configured(server_list(1, true, vec![host_entry(1, "ready")])).to_string())
+        .unwrap();
     let child = Command::new(env!("CARGO_BIN_EXE_dewhead"))
         .args(["serve", "--config"])
         .arg(&path)
--- a/crates/dewhead-proxy/tests/terms.rs
+++ b/crates/dewhead-proxy/tests/terms.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::loopback::{entry, line, rest, say, until, Place, Proxy};
-use common::{list, settings};
+use common::{server_list, settings};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
@@ -108,7 +108,7 @@
         assert!(back.elapsed() < Duration::from_secs(6), "the list is not taken up");
         if let Ok((socket, _)) = discovery.listener.accept() {
             let mut socket = socket;
-            let _ = write!(socket, "HTTP/1.1 200 OK\r\n\r\n{}\n", list(3, true, hosts()));
+            let _ = write!(socket, "HTTP/1.1 200 OK\r\n\r\n{}\n", server_list(3, true, hosts()));
             watches.push(socket);
             asked += 1;
         }
--- a/crates/dewhead-proxy/tests/wire.rs
+++ b/crates/dewhead-proxy/tests/wire.rs
@@ -170,8 +170,10 @@
     assert_eq!(server_id("s-5be2a07c"), server_id("s-5be2a07c"));
     let all: std::collections::BTreeSet<u64> = (0..2000).map(|n| server_id(&format!("s-{n:08x}"))).collect();
     assert_eq!(all.len(), 2000);
-    let (_, _, entries) =
-        parse_list(&common::list(1, true, vec![common::host(3, "ready")]), &common::ZONES.map(str::to_owned))
-            .unwrap();
+    let (_, _, entries) = parse_list(
+        &common::server_list(1, true, vec![common::host_entry(3, "ready")]),
+        &common::ZONES.map(str::to_owned),
+    )
+    .unwrap();
     assert_eq!(entries[0].0.id, server_id("s-3"));
 }
