--- a/crates/dewhead-proxy/tests/wire.rs
+++ b/crates/dewhead-proxy/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What is read from sockets, cut at every place and with any bytes.
+//! The parsers of what is read from sockets, with input split at every position and with arbitrary bytes.
 
 mod common;
 
@@ -11,51 +11,51 @@
 use quickcheck::{Gen, QuickCheck};
 
 #[test]
-fn a_watch_is_read_the_same_wherever_it_is_cut() {
+fn a_watch_response_is_parsed_the_same_however_it_is_split() {
     let text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n4\r\n{\"a\"\r\n6;x=1\r\n:1}\n\r\n\r\n1\r\n\n\r\n0\r\n\r\n";
-    let read = |pieces: &[&[u8]]| {
-        let (mut answer, mut lines, mut more) = (WatchResponse::default(), Vec::new(), Ok(true));
-        for piece in pieces {
-            more = answer.feed(piece, |line| lines.push(String::from_utf8_lossy(line).into_owned()));
-            if more != Ok(true) {
+    let parse = |chunks: &[&[u8]]| {
+        let (mut response, mut lines, mut incomplete) = (WatchResponse::default(), Vec::new(), Ok(true));
+        for chunk in chunks {
+            incomplete = response.feed(chunk, |line| lines.push(String::from_utf8_lossy(line).into_owned()));
+            if incomplete != Ok(true) {
                 break;
             }
         }
-        (lines, more)
+        (lines, incomplete)
     };
-    let whole = read(&[text]);
-    assert_eq!(whole, (vec!["{\"a\":1}".to_owned(), String::new(), String::new()], Ok(false)));
+    let unsplit = parse(&[text]);
+    assert_eq!(unsplit, (vec!["{\"a\":1}".to_owned(), String::new(), String::new()], Ok(false)));
     for at in 1..text.len() {
-        assert_eq!(read(&[&text[..at], &text[at..]]), whole, "cut at {at}");
+        assert_eq!(parse(&[&text[..at], &text[at..]]), unsplit, "split at {at}");
     }
-    let single: Vec<&[u8]> = text.chunks(1).collect();
-    assert_eq!(read(&single), whole);
+    let single_bytes: Vec<&[u8]> = text.chunks(1).collect();
+    assert_eq!(parse(&single_bytes), unsplit);
 }
 
 #[test]
-fn lines_are_seen_the_same_wherever_they_are_cut() {
+fn lines_are_found_the_same_however_they_are_split() {
     let text = format!("UP 1\r\nLOAD 12.5\r\n{}\r\nBYE\r\nrest", "y".repeat(100));
-    let read = |pieces: &[&str]| {
-        let (mut lines, mut seen) = (LineScanner::default(), Vec::new());
-        for piece in pieces {
-            lines.feed(piece.as_bytes(), |line, _| seen.push((parse_server_message(line), line.len())));
+    let scan = |chunks: &[&str]| {
+        let (mut scanner, mut messages) = (LineScanner::default(), Vec::new());
+        for chunk in chunks {
+            scanner.feed(chunk.as_bytes(), |line, _| messages.push((parse_server_message(line), line.len())));
         }
-        (seen, lines.is_between_lines())
+        (messages, scanner.is_between_lines())
     };
-    let whole = read(&[&text]);
+    let unsplit = scan(&[&text]);
     assert_eq!(
-        whole.0.iter().map(|(w, _)| *w).collect::<Vec<_>>(),
+        unsplit.0.iter().map(|(message, _)| *message).collect::<Vec<_>>(),
         [ServerMessage::Up, ServerMessage::Load(12.5e-6), ServerMessage::Other, ServerMessage::Bye]
     );
-    assert!(!whole.1);
+    assert!(!unsplit.1);
     for at in 1..text.len() {
-        assert_eq!(read(&[&text[..at], &text[at..]]), whole, "cut at {at}");
+        assert_eq!(scan(&[&text[..at], &text[at..]]), unsplit, "split at {at}");
     }
 }
 
-/// On the first day a guess was taken for milliseconds, and each call weighed a thousand times its load.
+/// A load hint was once taken for milliseconds, and each call counted as a thousand times its load.
 #[test]
-fn a_guess_at_the_load_and_the_load_told_are_of_one_unit() {
+fn the_load_hint_of_a_request_and_a_reported_load_have_the_same_unit() {
     let startup = Startup::parse(&common::settings()).unwrap();
     let line =
         b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=order,t=shop-b,d=2000,g=0000000000000001,h=19461.105\r\n";
@@ -76,18 +76,18 @@
     }
 }
 
-/// Such a line would go on to a server as it is, or let a call wait without a bound.
+/// Without the checks such a line would be forwarded to a server as it is, or let a call wait without a limit.
 #[test]
-fn a_field_that_is_known_is_checked_and_others_pass() {
+fn known_parameters_are_checked_and_unknown_ones_are_accepted() {
     let startup = Startup::parse(&common::settings()).unwrap();
     let (id, key) = ("9b1f03aa5c7e2d41", "7f3a9c21e0b4d655");
-    let understood = |line: String| {
-        let read = parse_first_line(line.as_bytes(), 0.0, 3.0, &startup.names, false);
-        matches!(read, Ok(FirstLine::Open { .. }))
+    let is_accepted = |line: String| {
+        let parsed = parse_first_line(line.as_bytes(), 0.0, 3.0, &startup.names, false);
+        matches!(parsed, Ok(FirstLine::Open { .. }))
     };
-    let full = "c=feed,t=shop-a,d=1500,g=5c0f6e1a2b3d4c59,h=12.5,r=1,again=1,zz=\u{e9},x=";
-    assert!(understood(format!("OPEN {id} {key} {full}\r\n")));
-    for list in [
+    let all_parameters = "c=feed,t=shop-a,d=1500,g=5c0f6e1a2b3d4c59,h=12.5,r=1,again=1,zz=\u{e9},x=";
+    assert!(is_accepted(format!("OPEN {id} {key} {all_parameters}\r\n")));
+    for parameters in [
         "c=feed",
         "d=100",
         "c=feed,d=",
@@ -116,9 +116,9 @@
         "c=feed,d=5,x=\u{7}",
         "c=feed,d=5 x=1",
     ] {
-        assert!(!understood(format!("OPEN {id} {key} {list}\r\n")), "{list}");
+        assert!(!is_accepted(format!("OPEN {id} {key} {parameters}\r\n")), "{parameters}");
     }
-    for head in [
+    for line in [
         format!("OPEN {id} {key} c=feed,d=5\n"),
         format!("OPEN {key} c=feed,d=5\r\n"),
         format!("OPEN {id} x{key} c=feed,d=5\r\n"),
@@ -127,49 +127,52 @@
         format!("open {id} {key} c=feed,d=5\r\n"),
         format!("OPEN {id} {key} c=feed,d=5\r\r\n"),
     ] {
-        assert!(!understood(head.clone()), "{head}");
+        assert!(!is_accepted(line.clone()), "{line}");
     }
 }
 
 #[test]
-fn no_bytes_make_the_readers_panic() {
-    fn any(bytes: Vec<u8>, cut: usize) -> bool {
+fn no_input_makes_the_parsers_panic() {
+    fn parses_without_panic(bytes: Vec<u8>, split: usize) -> bool {
         let startup = Startup::parse(&common::settings()).unwrap();
-        let mut with_head = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,d=".to_vec();
-        with_head.extend_from_slice(&bytes);
-        with_head.extend_from_slice(b",d=5\r\n");
-        for line in [&bytes, &with_head] {
+        let mut request_line = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,d=".to_vec();
+        request_line.extend_from_slice(&bytes);
+        request_line.extend_from_slice(b",d=5\r\n");
+        for line in [&bytes, &request_line] {
             if let Ok(FirstLine::Open { wait_range, server_range, .. }) =
                 parse_first_line(line, 0.0, 1.0, &startup.names, true)
             {
-                assert!(wait_range.end <= line.len() && server_range.is_none_or(|at| at.end <= line.len()));
+                assert!(
+                    wait_range.end <= line.len() && server_range.is_none_or(|range| range.end <= line.len())
+                );
             }
             let _ = parse_server_message(line);
         }
-        let mut answer = WatchResponse::default();
-        let mut chunks = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
-        chunks.extend_from_slice(&bytes);
-        let at = cut % (chunks.len() + 1);
-        if answer.feed(&chunks[..at], |_| ()) == Ok(true) {
-            let _ = answer.feed(&chunks[at..], |_| ());
+        let mut response = WatchResponse::default();
+        let mut response_bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
+        response_bytes.extend_from_slice(&bytes);
+        let at = split % (response_bytes.len() + 1);
+        if response.feed(&response_bytes[..at], |_| ()) == Ok(true) {
+            let _ = response.feed(&response_bytes[at..], |_| ());
         }
-        if let Ok(told) = serde_json::from_slice(&bytes) {
-            let _ = parse_list(&told, &startup.names.zones);
+        if let Ok(list) = serde_json::from_slice(&bytes) {
+            let _ = parse_list(&list, &startup.names.zones);
         }
         true
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 5))
         .tests(2000)
-        .quickcheck(any as fn(Vec<u8>, usize) -> bool);
+        .quickcheck(parses_without_panic as fn(Vec<u8>, usize) -> bool);
 }
 
-/// The module ranks servers by their number: were it to change, proxies of two versions would rank them differently.
+/// The balancer ranks servers by their id. If the id's definition changed, proxies of two versions would rank them
+/// differently.
 #[test]
-fn a_server_is_numbered_by_its_host_name_alone() {
+fn a_servers_id_depends_on_its_host_name_alone() {
     assert_eq!(server_id("s-5be2a07c"), server_id("s-5be2a07c"));
-    let all: std::collections::BTreeSet<u64> = (0..2000).map(|n| server_id(&format!("s-{n:08x}"))).collect();
-    assert_eq!(all.len(), 2000);
+    let ids: std::collections::BTreeSet<u64> = (0..2000).map(|n| server_id(&format!("s-{n:08x}"))).collect();
+    assert_eq!(ids.len(), 2000);
     let (_, _, entries) = parse_list(
         &common::server_list(1, true, vec![common::host_entry(3, "ready")]),
         &common::ZONES.map(str::to_owned),
