--- a/crates/dewhead-proxy/tests/guard.rs
+++ b/crates/dewhead-proxy/tests/guard.rs
@@ -1,60 +1,58 @@
-//! The guard finds each broken promise, and lets what is allowed go.
+//! The guard detects each violation, and allows everything else.
 
 use dewhead::types::{Idempotency, RepeatScope};
 use dewhead_proxy::guard::cold_start::{ColdStartLimit, LocationLoad};
 use dewhead_proxy::guard::{Guard, PendingReply, RepeatFacts, SendFacts, SentAttempt, Violation};
 use dewhead_startup::SlowStartSettings;
 
-const SENT: SentAttempt = SentAttempt { at: 100.0, zone: 1, cell: 4 };
-const SOUND: SendFacts = SendFacts { client_waiting: true, before_deadline: true, server_ready: true };
+/// The attempt that was sent first.
+const EARLIER_ATTEMPT: SentAttempt = SentAttempt { at: 100.0, zone: 1, cell: 4 };
+/// Facts that allow a request to be sent.
+const ALLOWED_SEND: SendFacts = SendFacts { client_waiting: true, before_deadline: true, server_ready: true };
 
-fn repeating(effect: Idempotency, ran: Option<SentAttempt>, to: SentAttempt) -> RepeatFacts {
-    RepeatFacts {
-        effect,
-        repeat_window: 2.0,
-        attempts_out: 0,
-        two_at_once: false,
-        may_have_run: ran,
-        target: to,
-    }
+/// The facts before a repeat at `target`, after an attempt that may have run.
+fn repeat_facts(effect: Idempotency, may_have_run: Option<SentAttempt>, target: SentAttempt) -> RepeatFacts {
+    RepeatFacts { effect, repeat_window: 2.0, attempts_out: 0, two_at_once: false, may_have_run, target }
 }
 
 #[test]
-fn sending_needs_a_client_time_and_a_ready_server() {
+fn a_request_is_sent_only_with_a_waiting_client_before_its_deadline_to_a_ready_server() {
     let mut guard = Guard::default();
-    assert_eq!(guard.may_send(&SOUND, &"request"), Ok(()));
+    assert_eq!(guard.may_send(&ALLOWED_SEND, &"request"), Ok(()));
     for (facts, violation) in [
-        (SendFacts { client_waiting: false, ..SOUND }, Violation::SentWithoutClient),
-        (SendFacts { before_deadline: false, ..SOUND }, Violation::SentAfterDeadline),
-        (SendFacts { server_ready: false, ..SOUND }, Violation::SentToUnreadyServer),
+        (SendFacts { client_waiting: false, ..ALLOWED_SEND }, Violation::SentWithoutClient),
+        (SendFacts { before_deadline: false, ..ALLOWED_SEND }, Violation::SentAfterDeadline),
+        (SendFacts { server_ready: false, ..ALLOWED_SEND }, Violation::SentToUnreadyServer),
     ] {
         assert_eq!(guard.may_send(&facts, &"request"), Err(violation));
     }
     assert_eq!(guard.total(), 3);
-    assert!(guard.counts().all(|(_, count)| count <= 1), "each is counted by its own name");
+    assert!(guard.counts().all(|(_, count)| count <= 1), "each violation is counted separately");
 }
 
 #[test]
-fn a_repeat_needs_an_effect_a_group_and_a_window_that_bear_it() {
-    let (later, too_late) = (SentAttempt { at: 101.9, ..SENT }, SentAttempt { at: 102.0, ..SENT });
-    let (cell, zone) = (SentAttempt { cell: 5, ..later }, SentAttempt { zone: 2, ..later });
-    let of = |group| Idempotency::Referenced(group);
+fn whether_a_repeat_is_allowed_depends_on_idempotency_repeat_scope_and_repeat_window() {
+    let (within_window, after_window) =
+        (SentAttempt { at: 101.9, ..EARLIER_ATTEMPT }, SentAttempt { at: 102.0, ..EARLIER_ATTEMPT });
+    let (other_cell, other_zone) =
+        (SentAttempt { cell: 5, ..within_window }, SentAttempt { zone: 2, ..within_window });
+    let referenced = |scope| Idempotency::Referenced(scope);
     let mut guard = Guard::default();
-    for (effect, ran, to, allowed) in [
-        (Idempotency::OnceOnly, None, later, true),
-        (Idempotency::OnceOnly, Some(SENT), later, false),
-        (Idempotency::Repeatable, Some(SENT), too_late, true),
-        (of(RepeatScope::Cell), Some(SENT), later, true),
-        (of(RepeatScope::Cell), Some(SENT), cell, false),
-        (of(RepeatScope::Cell), Some(SENT), zone, false),
-        (of(RepeatScope::Zone), Some(SENT), cell, true),
-        (of(RepeatScope::Zone), Some(SENT), zone, false),
-        (of(RepeatScope::All), Some(SENT), zone, true),
-        (of(RepeatScope::All), Some(SENT), too_late, false),
+    for (effect, may_have_run, target, allowed) in [
+        (Idempotency::OnceOnly, None, within_window, true),
+        (Idempotency::OnceOnly, Some(EARLIER_ATTEMPT), within_window, false),
+        (Idempotency::Repeatable, Some(EARLIER_ATTEMPT), after_window, true),
+        (referenced(RepeatScope::Cell), Some(EARLIER_ATTEMPT), within_window, true),
+        (referenced(RepeatScope::Cell), Some(EARLIER_ATTEMPT), other_cell, false),
+        (referenced(RepeatScope::Cell), Some(EARLIER_ATTEMPT), other_zone, false),
+        (referenced(RepeatScope::Zone), Some(EARLIER_ATTEMPT), other_cell, true),
+        (referenced(RepeatScope::Zone), Some(EARLIER_ATTEMPT), other_zone, false),
+        (referenced(RepeatScope::All), Some(EARLIER_ATTEMPT), other_zone, true),
+        (referenced(RepeatScope::All), Some(EARLIER_ATTEMPT), after_window, false),
     ] {
-        let outcome = guard.may_repeat(&repeating(effect, ran, to), &"request");
-        let wanted = if allowed { Ok(()) } else { Err(Violation::UnsafeRepeat) };
-        assert_eq!(outcome, wanted, "{effect:?} from {ran:?} to {to:?}");
+        let outcome = guard.may_repeat(&repeat_facts(effect, may_have_run, target), &"request");
+        let expected = if allowed { Ok(()) } else { Err(Violation::UnsafeRepeat) };
+        assert_eq!(outcome, expected, "{effect:?} from {may_have_run:?} to {target:?}");
     }
 }
 
@@ -67,36 +65,39 @@
         (Idempotency::OnceOnly, true, false),
         (Idempotency::Referenced(RepeatScope::All), true, false),
     ] {
-        let facts = RepeatFacts { attempts_out: 1, two_at_once, ..repeating(effect, None, SENT) };
-        let wanted = if allowed { Ok(()) } else { Err(Violation::OverlappingAttempts) };
-        assert_eq!(guard.may_repeat(&facts, &"request"), wanted, "{effect:?}, two at once: {two_at_once}");
+        let facts =
+            RepeatFacts { attempts_out: 1, two_at_once, ..repeat_facts(effect, None, EARLIER_ATTEMPT) };
+        let expected = if allowed { Ok(()) } else { Err(Violation::OverlappingAttempts) };
+        assert_eq!(guard.may_repeat(&facts, &"request"), expected, "{effect:?}, two at once: {two_at_once}");
     }
 }
 
 #[test]
-fn a_close_counts_where_something_is_owed() {
+fn closing_is_counted_only_where_an_answer_or_a_move_is_pending() {
     let mut guard = Guard::default();
     guard.check_close(PendingReply::Nothing, &"request");
     assert_eq!(guard.total(), 0);
     guard.check_close(PendingReply::Answer, &"request");
     guard.check_close(PendingReply::Move, &"request");
-    let found: Vec<Violation> = guard.counts().filter(|(_, count)| *count > 0).map(|(one, _)| one).collect();
+    let found: Vec<Violation> =
+        guard.counts().filter(|(_, count)| *count > 0).map(|(violation, _)| violation).collect();
     assert_eq!(found, [Violation::ClosedUnanswered, Violation::CutWithoutMove]);
 }
 
 #[test]
 fn a_server_in_slow_start_is_sent_no_more_than_its_limit() {
     let mut guard = Guard::default();
-    assert_eq!(guard.may_send_in_slow_start(0, 0.2, &"request"), Ok(()), "one request is always let go");
+    assert_eq!(guard.may_send_in_slow_start(0, 0.2, &"request"), Ok(()), "one request is always allowed");
     assert_eq!(guard.may_send_in_slow_start(5, 5.9, &"request"), Ok(()));
     assert_eq!(guard.may_send_in_slow_start(6, 5.9, &"request"), Err(Violation::SlowStartExceeded));
 }
 
-/// The operators' figures: N, and two roots of N and two; under 30 three roots and three. The limit follows the settings, the
-/// list and what is carried; a budget of the decisions that is set too high does not raise it, and is refused beyond it.
+/// The operators' tolerance for a limit of N is two square roots of N plus two, and three square roots plus three for N
+/// under 30. The limit follows from the settings, the server list and the connections carried: a budget that the
+/// decisions set too high does not raise it, and requests beyond the limit are refused.
 #[test]
-fn the_limit_of_a_cold_server_is_reckoned_apart_from_the_decisions() {
-    let terms = SlowStartSettings {
+fn the_limit_of_a_cold_server_is_independent_of_the_decisions() {
+    let settings = SlowStartSettings {
         cold_share: 0.2,
         warm_after: 10.0,
         max_capacity_multiple: 2.5,
@@ -105,25 +106,26 @@
         agreed_connections: 2000.0,
         weights_are_sizes: true,
     };
-    let mut limit = ColdStartLimit::new(terms);
+    let mut limit = ColdStartLimit::new(settings);
     let locations = |connections| {
         [LocationLoad { connections, ready_weight: 10.0 }, LocationLoad { connections, ready_weight: 10.0 }]
     };
     limit.observe(&locations(10));
-    // 100 connections fill a unit of weight by what was agreed on, and half of them are there at this age.
-    let large = 2.5 * 2.0 * 400.0 * 0.6 / 10.0;
-    assert!((limit.max_requests(4.0, 5.0) - (large + 2.0 * f64::sqrt(large) + 2.0)).abs() < 1e-9);
-    let small = 2.5 * 2.0 * 100.0 * 0.2 / 10.0;
-    assert!((limit.max_requests(1.0, 0.0) - (small + 3.0 * f64::sqrt(small) + 3.0)).abs() < 1e-9);
-    // What is carried beyond that counts too, also when it stands there no more.
+    // The agreed connections give 100 for each unit of weight, and the capacity at this age is 60% of the full one.
+    let large_limit = 2.5 * 2.0 * 400.0 * 0.6 / 10.0;
+    assert!((limit.max_requests(4.0, 5.0) - (large_limit + 2.0 * f64::sqrt(large_limit) + 2.0)).abs() < 1e-9);
+    let small_limit = 2.5 * 2.0 * 100.0 * 0.2 / 10.0;
+    assert!((limit.max_requests(1.0, 0.0) - (small_limit + 3.0 * f64::sqrt(small_limit) + 3.0)).abs() < 1e-9);
+    // Connections carried beyond that raise the limit, also after they have closed.
     limit.observe(&locations(100));
     limit.observe(&locations(0));
     assert!((limit.max_requests(1.0, 0.0) - (30.0 + 2.0 * f64::sqrt(30.0) + 2.0)).abs() < 1e-9);
-    // A proxy that goes on sending is stopped there.
+    // A proxy that keeps sending is refused at the limit.
     let mut guard = Guard::default();
-    let most = limit.max_requests(4.0, 5.0);
-    let sent =
-        (0..1000).take_while(|sent| guard.may_send_in_slow_start(*sent, most, &"request").is_ok()).count();
-    assert_eq!(sent, most.ceil() as usize);
+    let max_requests = limit.max_requests(4.0, 5.0);
+    let sent = (0..1000)
+        .take_while(|sent| guard.may_send_in_slow_start(*sent, max_requests, &"request").is_ok())
+        .count();
+    assert_eq!(sent, max_requests.ceil() as usize);
     assert_eq!(guard.total(), 1);
 }
