--- a/crates/dewhead-proxy/tests/common/mod.rs
+++ b/crates/dewhead-proxy/tests/common/mod.rs
@@ -18,8 +18,8 @@
 /// Settings with three traffic types, one of each idempotency, and two tenants.
 pub fn settings() -> Value {
     let traffic_type = |name: &str, idempotency: &str, guard_time_ms: f64| {
-        json!({"name": name, "idempotency": idempotency, "keyScope": "cell", "repeatWindow": 2000.0, "setupTarget": 300.0,
-               "guardTime": guard_time_ms, "revenue": 1.0})
+        json!({"name": name, "idempotency": idempotency, "keyScope": "cell", "repeatWindow": 2000.0,
+               "setupTarget": 300.0, "guardTime": guard_time_ms, "revenue": 1.0})
     };
     json!({
         "azs": ZONES, "locality": "east", "position": 0, "siblings": 2, "membershipMode": "automatic",
--- a/crates/dewhead-proxy/tests/interleavings.rs
+++ b/crates/dewhead-proxy/tests/interleavings.rs
@@ -1,7 +1,7 @@
-//! Random interleavings of events from clients, servers, discovery and stops on the reducer, from fixed seeds. Checked after
-//! every step: at most one final answer for each call and nothing after it, no write to a client that is gone (on which the
-//! harness panics), no request to a server that was reported as draining, and no second leg where the call's idempotency
-//! forbids it. At the end all slots, descriptors and timers must be free.
+//! Random interleavings of events from clients, servers, discovery and stops on the reducer, from fixed seeds. Checked
+//! after every step: at most one final answer for each call and nothing after it, no write to a client that is gone (on
+//! which the harness panics), no request to a server that was reported as draining, and no second leg where the call's
+//! idempotency forbids it. At the end all slots, descriptors and timers must be free.
 
 mod common;
 
@@ -89,7 +89,8 @@
             let text = self.harness.received(*client);
             let final_answers =
                 text.lines().filter(|l| *l == "ERR" || *l == "MOVE" || l.starts_with("BUSY")).count();
-            // Bytes from a server are forwarded unchanged from `UP` on; the harness panics on a write after the last answer.
+            // Bytes from a server are forwarded unchanged from `UP` on; the harness panics on a write after the last
+            // answer.
             assert!(final_answers <= 1 || text.starts_with("UP "), "rule 1: two final answers: {text:?}");
             let unsafe_to_reject = call.may_have_run && call.traffic_type != "feed";
             assert!(
--- a/crates/dewhead-proxy/tests/owed.rs
+++ b/crates/dewhead-proxy/tests/owed.rs
@@ -65,8 +65,8 @@
     }
 }
 
-/// Servers recognise a repeat of a referenced call for the repeat window, counted from its first send. A repeat whose leg
-/// was started within the window but connected after it was still sent.
+/// Servers recognise a repeat of a referenced call for the repeat window, counted from its first send. A repeat whose
+/// leg was started within the window but connected after it was still sent.
 #[test]
 fn a_repeat_that_connects_after_the_repeat_window_is_not_sent() {
     let mut settings_json = settings();
@@ -88,8 +88,8 @@
     assert_eq!(harness.received(client), "ERR\r\n", "not rejected, as the first attempt may have run");
 }
 
-/// An `UP` that arrives before the last byte of the head is written cannot be the answer to it. It was forwarded, and the
-/// call counted as established at a server that had never read it.
+/// An `UP` that arrives before the last byte of the head is written cannot be the answer to it. It was forwarded, and
+/// the call counted as established at a server that had never read it.
 #[test]
 fn bytes_from_a_server_before_the_whole_head_is_written_are_no_answer() {
     for traffic_type in TRAFFIC_TYPES {
@@ -109,11 +109,12 @@
     }
 }
 
-/// Whatever a server does once it has the whole head, a call has one outcome: it is sent again where its idempotency allows
-/// that, and gets one answer otherwise.
+/// Whatever a server does once it has the whole head, a call has one outcome: it is sent again where its idempotency
+/// allows that, and gets one answer otherwise.
 #[test]
 fn every_failed_answer_after_the_whole_head_has_exactly_one_outcome() {
-    // The server's bytes, how the connection ends after them if it does, and whether they state that the call never ran.
+    // The server's bytes, how the connection ends after them if it does, and whether they state that the call never
+    // ran.
     let long_line = "x".repeat(4096);
     let cases: [(&str, Option<CloseKind>, bool); 9] = [
         ("BUSY\r\nUP 1\r\n", None, true),
@@ -151,9 +152,9 @@
     }
 }
 
-/// With guard times of 3.2 and 4.8 s, as at one site, and SIGKILL 3.7 s after SIGTERM, the process was to exit after 5.4 s,
-/// and clients that were waiting or established then were cut off when it was killed. The second case has guard times of a
-/// quarter of a second and less.
+/// With guard times of 3.2 and 4.8 s, as at one site, and SIGKILL 3.7 s after SIGTERM, the process was to exit after
+/// 5.4 s, and clients that were waiting or established then were cut off when it was killed. The second case has guard
+/// times of a quarter of a second and less.
 #[test]
 fn a_planned_stop_answers_or_moves_every_client_before_the_process_is_killed() {
     for (guard_times, killed_after) in [([3200.0, 4800.0, 4000.0], 3.7), ([250.0, 200.0, 150.0], 0.95)] {
--- a/crates/dewhead-proxy/tests/reducer.rs
+++ b/crates/dewhead-proxy/tests/reducer.rs
@@ -722,7 +722,8 @@
         ports
     };
     assert_eq!(ports_of_calls(&mut harness), [9000, 9001]);
-    // Versions start from one again. One server is draining, one no longer is (or the list is outdated), and one is new.
+    // Versions start from one again. One server is draining, one no longer is (or the list is outdated), and one is
+    // new.
     let hosts = vec![
         host_entry(0, "ready"),
         host_entry(1, "draining"),
