--- a/crates/dewhead-proxy/tests/common/mod.rs
+++ b/crates/dewhead-proxy/tests/common/mod.rs
@@ -77,6 +77,7 @@
 
 /// The reducer with a clock that the test advances, and the connections that its effects opened.
 pub struct Harness {
+    /// The reducer under test.
     pub reducer: Reducer,
     /// The time of the next event, in seconds.
     pub now: f64,
@@ -90,7 +91,9 @@
     pub dialed_ports: Vec<usize>,
     /// Request heads that were sent: the client's slot, the leg, the port.
     pub sent_heads: Vec<(usize, usize, usize)>,
+    /// Whether the reducer accepts clients.
     pub accepting: bool,
+    /// Whether the reducer has requested the process's exit.
     pub exited: bool,
     /// Requests for the watch: the address, and the version since which changes were requested.
     pub watch_requests: Vec<(SocketAddr, u64)>,
