--- a/crates/dewhead-proxy/tests/clock.rs
+++ b/crates/dewhead-proxy/tests/clock.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::loopback::{entry, faults, Place, Proxy};
+use common::loopback::{fault_environment, server_entry, Proxy, StubListener};
 use common::{list, settings};
 use dewhead_faults::plan::{ClockStep, Plan};
 use dewhead_proxy::state::start_times::WallClock;
@@ -21,22 +21,27 @@
 
 /// How old the proxy takes a server to be that started half a second ago by its own, wrong, clock.
 fn age_told(by: f64, started_after_the_step: bool) -> String {
-    let (server, discovery) = (Place::new(), Place::new());
+    let (server, discovery) = (StubListener::new(), StubListener::new());
     let from = true_time() + STEP_AFTER;
     let plan = Plan { step: ClockStep { from, by }, ..Plan::default() };
-    let known = vec![entry("s-1", server.at, "ready")];
-    let mut proxy = Proxy::start_with(&settings(), discovery.at, known.clone(), &faults(&plan));
-    let mut watch = discovery.watch(2, true, known);
+    let known = vec![server_entry("s-1", server.address, "ready")];
+    let mut proxy = Proxy::start_with_environment(
+        &settings(),
+        discovery.address,
+        known.clone(),
+        &fault_environment(&plan),
+    );
+    let mut watch = discovery.accept_watch(2, true, known);
     while true_time() < from + if started_after_the_step { 0.6 } else { 0.1 } {
         std::thread::sleep(Duration::from_millis(10));
     }
     let started = true_time() - 0.5;
     let shown = if started >= from { started + by } else { started };
-    let mut fresh = entry("s-2", server.at, "ready");
+    let mut fresh = server_entry("s-2", server.address, "ready");
     fresh["born_ms"] = json!((shown * 1e3).round());
     writeln!(watch, "{}", list(3, false, vec![fresh])).expect("the watch is open");
     loop {
-        let line = common::loopback::line(&mut proxy.log);
+        let line = common::loopback::read_line(&mut proxy.log);
         if let Some((_, age)) =
             line.split_once("weight 1, started ").filter(|(_, age)| !age.starts_with("inf"))
         {
--- a/crates/dewhead-proxy/tests/common/loopback.rs
+++ b/crates/dewhead-proxy/tests/common/loopback.rs
@@ -1,5 +1,5 @@
-//! A real proxy, a discovery and servers over loopback, whose steps a test takes one by one: what must come first is seen
-//! to have come before the next is done.
+//! A real proxy process with servers and a discovery that the test plays itself, over loopback. A test proceeds step by
+//! step: it waits until an event has happened before it causes the next one.
 
 use super::{list, ZONES};
 use dewhead_faults::plan::{self, Plan};
@@ -12,100 +12,106 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes on a machine with all cores busy.
-pub const EVER: Duration = Duration::from_secs(20);
+/// Time limit for a single step of a test: longer than any step takes on a machine with all cores busy.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub fn line(of: &mut impl BufRead) -> String {
+/// Reads one line with its line end; empty at the end of the stream.
+pub fn read_line(reader: &mut impl BufRead) -> String {
     let mut line = String::new();
-    of.read_line(&mut line).expect("a line");
+    reader.read_line(&mut line).expect("a line can be read");
     line
 }
 
-pub fn until(what: &str, mut seen: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !seen() {
-        assert!(began.elapsed() < EVER, "{what}: not seen");
+/// Waits until the condition holds; `description` names it if it does not hold in time.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < STEP_TIMEOUT, "timed out waiting for: {description}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A server as the list has it.
-pub fn entry(name: &str, at: SocketAddr, health: &str) -> Value {
-    json!({"host": name, "dial": at.to_string(), "site": ZONES[0], "block": 0, "health": health, "share": 1.0,
+/// The server list's entry for a server.
+pub fn server_entry(name: &str, address: SocketAddr, health: &str) -> Value {
+    json!({"host": name, "dial": address.to_string(), "site": ZONES[0], "block": 0, "health": health, "share": 1.0,
            "born_ms": 0})
 }
 
-/// Where this run of the tests listens: no other run listens there, and no connection goes out from it. At one address for all,
-/// a proxy of another run asked a server here for its list, as the port had been its discovery's.
-fn own_address() -> SocketAddr {
+/// A loopback address, with port 0, on which only this test process listens and from which no connection is opened. While
+/// all test processes shared one address, a port that had been a discovery's was reused: a proxy of another test run
+/// then requested its list from a server of this run.
+fn address_of_this_run() -> SocketAddr {
     let id = std::process::id();
     SocketAddr::from(([127, 16 + (id / 200 % 200) as u8, 1 + (id % 200) as u8, 1], 0))
 }
 
-/// An address as `/proc/net/tcp` has it.
-fn written(at: SocketAddr) -> String {
-    let SocketAddr::V4(at) = at else { unreachable!("an address of loopback") };
-    format!("{:08X}:{:04X}", u32::from_ne_bytes(at.ip().octets()), at.port())
+/// Formats an address as in `/proc/net/tcp`.
+fn format_proc_address(address: SocketAddr) -> String {
+    let SocketAddr::V4(address) = address else { unreachable!("loopback addresses here are IPv4") };
+    format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port())
 }
 
-/// The program itself; it ends with this.
+/// A running `dewhead serve` process, killed when this is dropped.
 pub struct Proxy {
     child: Child,
-    pub at: SocketAddr,
-    config: PathBuf,
+    /// The address at which it accepts clients.
+    pub address: SocketAddr,
+    config_path: PathBuf,
+    /// Its standard error, to which it logs.
     pub log: BufReader<std::process::ChildStderr>,
 }
 
 impl Proxy {
-    /// Started with these settings and this list from before; serves by the time that this returns.
+    /// Starts a proxy with these settings and this known server list, and returns once it serves.
     pub fn start(settings: &Value, discovery: SocketAddr, known: Vec<Value>) -> Proxy {
-        Proxy::start_with(settings, discovery, known, &[])
+        Proxy::start_with_environment(settings, discovery, known, &[])
     }
 
-    /// The same, with more in its environment.
-    pub fn start_with(
+    /// As `start`, with additional environment variables.
+    pub fn start_with_environment(
         settings: &Value,
         discovery: SocketAddr,
         known: Vec<Value>,
         environment: &[(&str, String)],
     ) -> Proxy {
-        static MADE: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
+        static NEXT_NUMBER: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
         loop {
-            let made = MADE.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-            // No connection goes out from there, so that the port stays free until the proxy has it.
-            let at = TcpListener::bind(own_address()).unwrap().local_addr().unwrap();
-            let config =
-                std::env::temp_dir().join(format!("dewhead-ends-{}-{made}.json", std::process::id()));
-            let told = json!({"name": "p", "listen": at.to_string(), "discovery": discovery.to_string(),
-                              "control": config.with_extension("control"), "seed": "7", "known": list(1, true, known.clone()), "settings": settings,
-                              "limits": {"sockets": 256}});
-            std::fs::write(&config, told.to_string()).unwrap();
+            let number = NEXT_NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+            // No connection is opened from this address, so the port stays free until the proxy binds it.
+            let address = TcpListener::bind(address_of_this_run()).unwrap().local_addr().unwrap();
+            let config_path =
+                std::env::temp_dir().join(format!("dewhead-loopback-{}-{number}.json", std::process::id()));
+            let configuration = json!({"name": "p", "listen": address.to_string(), "discovery": discovery.to_string(),
+                                       "control": config_path.with_extension("control"), "seed": "7",
+                                       "known": list(1, true, known.clone()), "settings": settings,
+                                       "limits": {"sockets": 256}});
+            std::fs::write(&config_path, configuration.to_string()).unwrap();
             let mut command = Command::new(env!("CARGO_BIN_EXE_dewhead"));
-            command.args(["serve", "--config"]).arg(&config);
+            command.args(["serve", "--config"]).arg(&config_path);
             command.env("RUST_LOG", "info,dewhead_proxy::reducer::watch=debug");
             command.envs(environment.iter().map(|(name, value)| (name, value)));
             let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
             let log = BufReader::new(child.stderr.take().unwrap());
-            let mut proxy = Proxy { child, at, config, log };
-            if proxy.serves() {
+            let mut proxy = Proxy { child, address, config_path, log };
+            if proxy.wait_until_serving() {
                 return proxy;
             }
-            // Another test run may have the port; whatever else it is, is a fault, and is told.
+            // Another test run may have bound the port in the meantime; any other cause fails the test.
             let _ = proxy.child.kill();
-            let log = rest(&mut proxy.log);
-            assert!(log.contains("Address already in use"), "it does not serve: {log}");
+            let log = read_rest(&mut proxy.log);
+            assert!(log.contains("Address already in use"), "the proxy does not serve: {log}");
         }
     }
 
-    /// Waits until it does; false if it has ended, or does not in all that time.
-    fn serves(&mut self) -> bool {
-        let began = Instant::now();
-        while began.elapsed() < EVER && self.child.try_wait().unwrap().is_none() {
-            if let Ok(mut socket) = TcpStream::connect(self.at) {
-                socket.set_read_timeout(Some(EVER)).unwrap();
-                let mut said = String::new();
-                let asked = socket.write_all(b"PING\r\n").is_ok();
-                if asked && BufReader::new(socket).read_line(&mut said).is_ok() && said == "PONG\r\n" {
+    /// Waits until the proxy answers a `PING`; false if it has exited, or does not answer within `STEP_TIMEOUT`.
+    fn wait_until_serving(&mut self) -> bool {
+        let started_at = Instant::now();
+        while started_at.elapsed() < STEP_TIMEOUT && self.child.try_wait().unwrap().is_none() {
+            if let Ok(mut socket) = TcpStream::connect(self.address) {
+                socket.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+                let mut answer = String::new();
+                let sent = socket.write_all(b"PING\r\n").is_ok();
+                if sent && BufReader::new(socket).read_line(&mut answer).is_ok() && answer == "PONG\r\n" {
                     return true;
                 }
             }
@@ -114,55 +120,60 @@
         false
     }
 
-    pub fn tell(&self, signal: Signal) {
+    /// Sends a signal to the process.
+    pub fn send_signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// What `dewhead ctl` prints for this action; none where it fails.
-    pub fn ctl(&self, action: &str) -> Option<String> {
+    /// The output of `dewhead ctl` for this action, or `None` if it fails.
+    pub fn run_ctl(&self, action: &str) -> Option<String> {
         let mut command = Command::new(env!("CARGO_BIN_EXE_dewhead"));
-        command.args(["ctl", action, "--socket"]).arg(self.config.with_extension("control"));
+        command.args(["ctl", action, "--socket"]).arg(self.config_path.with_extension("control"));
         let output = command.stderr(Stdio::null()).output().unwrap();
         output.status.success().then(|| String::from_utf8_lossy(&output.stdout).into_owned())
     }
 
-    /// Its configuration as it is now, and another in its place.
-    pub fn configuration(&self) -> String {
-        std::fs::read_to_string(&self.config).unwrap()
+    /// Reads the current text of the configuration file.
+    pub fn read_configuration(&self) -> String {
+        std::fs::read_to_string(&self.config_path).unwrap()
     }
 
-    pub fn configure(&self, text: &str) {
-        std::fs::write(&self.config, text).unwrap();
+    /// Replaces the text of the configuration file.
+    pub fn write_configuration(&self, text: &str) {
+        std::fs::write(&self.config_path, text).unwrap();
     }
 
-    /// Waits until the log has a line with this.
-    pub fn logs(&mut self, what: &str) {
-        while !line(&mut self.log).contains(what) {}
+    /// Reads the log up to the next line that contains this text.
+    pub fn wait_for_log(&mut self, text: &str) {
+        while !read_line(&mut self.log).contains(text) {}
     }
 
-    /// Whether it has ended by itself, well.
-    pub fn ended(&mut self) -> bool {
+    /// Whether the process has exited with success.
+    pub fn exited_successfully(&mut self) -> bool {
         self.child.try_wait().unwrap().is_some_and(|status| status.success())
     }
 
-    /// What it holds in memory now.
-    pub fn memory_kb(&self) -> u64 {
+    /// The process's resident memory, in kB.
+    pub fn resident_memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Whether the end of the client that had this address has reached the proxy's machine.
-    pub fn has_heard_the_end_of(&self, client: SocketAddr) -> bool {
-        let stands = format!("{} {} 01 ", written(self.at), written(client));
-        !connections().contains(&stands)
+    /// Whether the kernel has received, on the proxy's side, the FIN or reset of the client with this address.
+    pub fn has_received_close_from(&self, client: SocketAddr) -> bool {
+        // State 01 is ESTABLISHED.
+        let established =
+            format!("{} {} 01 ", format_proc_address(self.address), format_proc_address(client));
+        !tcp_connections().contains(&established)
     }
 
-    /// A client with its first line sent.
-    pub fn client(&self, id: u64, kind: &str, wait: u64) -> BufReader<TcpStream> {
-        let mut socket = TcpStream::connect(self.at).unwrap();
-        socket.set_read_timeout(Some(EVER)).unwrap();
-        write!(socket, "OPEN {id:016x} 7f3a9c21e0b4d655 c={kind},t=shop-a,d={wait}\r\n").unwrap();
+    /// Connects a client and sends its first line, with this timeout in ms.
+    pub fn open_client(&self, id: u64, traffic_type: &str, timeout_ms: u64) -> BufReader<TcpStream> {
+        let mut socket = TcpStream::connect(self.address).unwrap();
+        socket.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+        write!(socket, "OPEN {id:016x} 7f3a9c21e0b4d655 c={traffic_type},t=shop-a,d={timeout_ms}\r\n")
+            .unwrap();
         BufReader::new(socket)
     }
 }
@@ -171,106 +182,113 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config);
-        let _ = std::fs::remove_file(self.config.with_extension("control"));
+        let _ = std::fs::remove_file(&self.config_path);
+        let _ = std::fs::remove_file(self.config_path.with_extension("control"));
     }
 }
 
-/// The machine's connections: each line has the own port, the other's and the state.
-fn connections() -> String {
+/// The machine's TCP sockets: each line has the local address, the remote address and the state.
+fn tcp_connections() -> String {
     std::fs::read_to_string("/proc/net/tcp").unwrap()
 }
 
-/// A listener of a server or a discovery.
-pub struct Place {
+/// A listener with which a test plays a server or a discovery.
+pub struct StubListener {
+    /// The non-blocking listener itself.
     pub listener: TcpListener,
-    pub at: SocketAddr,
-    /// Fills the queue of one that is held up.
+    /// The address it listens at.
+    pub address: SocketAddr,
+    /// The connection that fills the backlog of `with_full_backlog`.
     filler: Option<TcpStream>,
 }
 
-impl Place {
-    pub fn new() -> Place {
-        let listener = TcpListener::bind(own_address()).unwrap();
+impl StubListener {
+    /// A listener with room in its backlog.
+    pub fn new() -> StubListener {
+        let listener = TcpListener::bind(address_of_this_run()).unwrap();
         listener.set_nonblocking(true).unwrap();
-        Place { at: listener.local_addr().unwrap(), listener, filler: None }
+        StubListener { address: listener.local_addr().unwrap(), listener, filler: None }
     }
 
-    /// One whose queue is full: connections come up only after `let_up`, once they are tried again.
-    pub fn held_up() -> Place {
+    /// A listener whose backlog is full: a connection is established only after `free_backlog_and_accept`, when the kernel
+    /// sends its SYN again.
+    pub fn with_full_backlog() -> StubListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&own_address().into()).unwrap();
+        socket.bind(&address_of_this_run().into()).unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         listener.set_nonblocking(true).unwrap();
-        let at = listener.local_addr().unwrap();
-        Place { at, listener, filler: Some(TcpStream::connect(at).unwrap()) }
+        let address = listener.local_addr().unwrap();
+        StubListener { address, listener, filler: Some(TcpStream::connect(address).unwrap()) }
     }
 
-    /// Whether somebody has begun to connect here and is not up.
-    pub fn is_tried(&self) -> bool {
-        connections().contains(&format!(" {} 02 ", written(self.at)))
+    /// Whether a connection to this listener has been started and is not established.
+    pub fn has_pending_connect(&self) -> bool {
+        // State 02 is SYN_SENT.
+        tcp_connections().contains(&format!(" {} 02 ", format_proc_address(self.address)))
     }
 
-    /// Lets the next come up, and returns it once it is.
-    pub fn let_up(&mut self) -> TcpStream {
+    /// Makes room in the backlog and returns the next connection once it is established.
+    pub fn free_backlog_and_accept(&mut self) -> TcpStream {
         if self.filler.take().is_some() {
             drop(self.accept());
         }
         self.accept()
     }
 
-    /// Whether somebody has connected here; whoever has is hung up on.
-    pub fn is_asked(&self) -> bool {
+    /// Whether a connection is waiting to be accepted; if so, it is accepted and closed.
+    pub fn try_accept_and_close(&self) -> bool {
         self.listener.accept().is_ok()
     }
 
+    /// Waits for the next connection.
     pub fn accept(&self) -> TcpStream {
-        let mut came = None;
-        until("a connection", || {
-            came = self.listener.accept().ok();
-            came.is_some()
+        let mut accepted = None;
+        wait_until("a connection", || {
+            accepted = self.listener.accept().ok();
+            accepted.is_some()
         });
-        let (socket, _) = came.unwrap();
+        let (socket, _) = accepted.unwrap();
         socket.set_nonblocking(false).unwrap();
-        socket.set_read_timeout(Some(EVER)).unwrap();
+        socket.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
         socket
     }
 
-    /// Accepts a server's next connection with its first line.
-    pub fn asked(&self) -> (BufReader<TcpStream>, String) {
+    /// Accepts the next connection and reads its first line.
+    pub fn accept_with_first_line(&self) -> (BufReader<TcpStream>, String) {
         let mut lines = BufReader::new(self.accept());
-        let head = line(&mut lines);
-        (lines, head)
+        let first_line = read_line(&mut lines);
+        (lines, first_line)
     }
 
-    /// Accepts the next watch and tells it this list.
-    pub fn watch(&self, seq: u64, whole: bool, hosts: Vec<Value>) -> TcpStream {
-        let (mut watch, asked) = self.asked();
-        assert!(asked.starts_with("GET /v1/servers?follow=1&since="), "{asked}");
-        while line(&mut watch) != "\r\n" {}
+    /// Accepts the next watch and sends this list on it.
+    pub fn accept_watch(&self, seq: u64, whole: bool, hosts: Vec<Value>) -> TcpStream {
+        let (mut watch, request_line) = self.accept_with_first_line();
+        assert!(request_line.starts_with("GET /v1/servers?follow=1&since="), "{request_line}");
+        while read_line(&mut watch) != "\r\n" {}
         let mut watch = watch.into_inner();
         write!(watch, "HTTP/1.1 200 OK\r\n\r\n{}\n", list(seq, whole, hosts)).unwrap();
         watch
     }
 }
 
-/// The environment in which a proxy's system calls fail by this plan.
-pub fn faults(plan: &Plan) -> [(&'static str, String); 2] {
+/// Environment variables with which a proxy's system calls fail according to this plan.
+pub fn fault_environment(plan: &Plan) -> [(&'static str, String); 2] {
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
-    let built = Command::new(cargo).args(["build", "--locked", "-p", "dewhead-faults-preload"]).status();
-    assert!(built.expect("cargo runs").success());
+    let build = Command::new(cargo).args(["build", "--locked", "-p", "dewhead-faults-preload"]).status();
+    assert!(build.expect("cargo can be started").success());
     let library = Path::new(env!("CARGO_BIN_EXE_dewhead")).with_file_name("libdewhead_faults_preload.so");
     [("LD_PRELOAD", library.display().to_string()), (plan::VARIABLE, plan.to_string())]
 }
 
-/// All that still comes, to the end; an end by a reset counts as one.
-pub fn rest(mut of: impl Read) -> String {
-    let mut all = Vec::new();
-    let _ = of.read_to_end(&mut all);
-    String::from_utf8_lossy(&all).into_owned()
+/// Reads everything up to the end of the stream; a reset counts as the end.
+pub fn read_rest(mut reader: impl Read) -> String {
+    let mut bytes = Vec::new();
+    let _ = reader.read_to_end(&mut bytes);
+    String::from_utf8_lossy(&bytes).into_owned()
 }
 
-pub fn say(to: &BufReader<TcpStream>, text: &str) {
-    to.get_ref().write_all(text.as_bytes()).unwrap();
+/// Sends this text on a connection.
+pub fn send(connection: &BufReader<TcpStream>, text: &str) {
+    connection.get_ref().write_all(text.as_bytes()).unwrap();
 }
--- a/crates/dewhead-proxy/tests/customers.rs
+++ b/crates/dewhead-proxy/tests/customers.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::list;
-use common::loopback::{entry, line, rest, say, until, Place, Proxy};
+use common::loopback::{read_line, read_rest, send, server_entry, wait_until, Proxy, StubListener};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::io::Write;
@@ -54,15 +54,18 @@
 #[test]
 fn both_customers_are_served_and_parted_from() {
     for (told, shop) in [(one_window(), ""), (four_effects(), ",t=stall")] {
-        let (first, second, discovery) = (Place::new(), Place::new(), Place::new());
-        let hosts = |health| vec![entry("s-1", first.at, health), entry("s-2", second.at, "ready")];
-        let mut proxy = Proxy::start(&told, discovery.at, vec![entry("s-1", first.at, "ready")]);
-        let mut watch = discovery.watch(2, true, vec![entry("s-1", first.at, "ready")]);
+        let (first, second, discovery) = (StubListener::new(), StubListener::new(), StubListener::new());
+        let hosts = |health| {
+            vec![server_entry("s-1", first.address, health), server_entry("s-2", second.address, "ready")]
+        };
+        let mut proxy =
+            Proxy::start(&told, discovery.address, vec![server_entry("s-1", first.address, "ready")]);
+        let mut watch = discovery.accept_watch(2, true, vec![server_entry("s-1", first.address, "ready")]);
         let mut held = Vec::new();
-        let at = proxy.at;
+        let at = proxy.address;
         let open = |id: u64, kind: &str, wait: f64| {
             let mut client = std::net::TcpStream::connect(at).unwrap();
-            client.set_read_timeout(Some(common::loopback::EVER)).unwrap();
+            client.set_read_timeout(Some(common::loopback::STEP_TIMEOUT)).unwrap();
             write!(client, "OPEN {id:016x} 7f3a9c21e0b4d655 c={kind}{shop},d={wait},g=5c0f6e1a2b3d4c59\r\n")
                 .unwrap();
             std::io::BufReader::new(client)
@@ -71,31 +74,31 @@
         for (id, one) in classes.iter().enumerate() {
             let (kind, guard) = (one["name"].as_str().unwrap(), one["guardTime"].as_f64().unwrap());
             let mut client = open(id as u64, kind, guard);
-            let (leg, head) = first.asked();
+            let (leg, head) = first.accept_with_first_line();
             assert!(head.contains(&format!("c={kind}{shop},d=")), "{head}");
-            say(&leg, "UP 1\r\n");
-            assert_eq!(line(&mut client), "UP 1\r\n", "{kind}");
+            send(&leg, "UP 1\r\n");
+            assert_eq!(read_line(&mut client), "UP 1\r\n", "{kind}");
             held.push((client, leg));
         }
         // A drain: the next goes elsewhere.
         writeln!(watch, "{}", list(3, false, hosts("draining"))).unwrap();
-        proxy.logs("is Draining");
+        proxy.wait_for_log("is Draining");
         let (kind, guard) = (classes[0]["name"].as_str().unwrap(), classes[0]["guardTime"].as_f64().unwrap());
         let mut client = open(100, kind, guard);
-        let (leg, _) = second.asked();
-        say(&leg, "UP 2\r\n");
-        assert_eq!(line(&mut client), "UP 2\r\n");
+        let (leg, _) = second.accept_with_first_line();
+        send(&leg, "UP 2\r\n");
+        assert_eq!(read_line(&mut client), "UP 2\r\n");
         held.push((client, leg));
         // One that hangs while the process is told to stop, of the class that must not run twice.
         let kind = classes.iter().find(|c| c["idempotency"] == "fragile").unwrap()["name"].as_str().unwrap();
         let mut hangs = open(101, kind, guard);
-        let (_leg, _) = second.asked();
-        proxy.tell(Signal::TERM);
-        assert_eq!(line(&mut hangs), "ERR\r\n", "it may have run: no reject");
+        let (_leg, _) = second.accept_with_first_line();
+        proxy.send_signal(Signal::TERM);
+        assert_eq!(read_line(&mut hangs), "ERR\r\n", "it may have run: no reject");
         for (client, _) in held {
-            assert_eq!(rest(client), "MOVE\r\n", "who stands is sent away politely");
+            assert_eq!(read_rest(client), "MOVE\r\n", "who stands is sent away politely");
         }
         drop(hangs);
-        until("it ends", || proxy.ended());
+        wait_until("it ends", || proxy.exited_successfully());
     }
 }
--- a/crates/dewhead-proxy/tests/ends.rs
+++ b/crates/dewhead-proxy/tests/ends.rs
@@ -3,7 +3,9 @@
 
 mod common;
 
-use common::loopback::{entry, line, rest, say, until, Place, Proxy, EVER};
+use common::loopback::{
+    read_line, read_rest, send, server_entry, wait_until, Proxy, StubListener, STEP_TIMEOUT,
+};
 use common::{list, settings};
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -36,23 +38,32 @@
 #[test]
 fn a_leg_that_comes_up_after_a_drain_was_told_is_not_sent() {
     for kind in ["feed", "order", "note"] {
-        let (mut first, second, discovery) = (Place::held_up(), Place::new(), Place::new());
-        let proxy = Proxy::start(&patient(), discovery.at, vec![entry("s-1", first.at, "ready")]);
-        let mut watch = discovery.watch(2, true, vec![entry("s-1", first.at, "ready")]);
-        let mut client = proxy.client(1, kind, 15_000);
-        until("the leg is dialled", || first.is_tried());
-        let drained = vec![entry("s-1", first.at, "draining"), entry("s-2", second.at, "ready")];
+        let (mut first, second, discovery) =
+            (StubListener::with_full_backlog(), StubListener::new(), StubListener::new());
+        let proxy =
+            Proxy::start(&patient(), discovery.address, vec![server_entry("s-1", first.address, "ready")]);
+        let mut watch = discovery.accept_watch(2, true, vec![server_entry("s-1", first.address, "ready")]);
+        let mut client = proxy.open_client(1, kind, 15_000);
+        wait_until("the leg is dialled", || first.has_pending_connect());
+        let drained = vec![
+            server_entry("s-1", first.address, "draining"),
+            server_entry("s-2", second.address, "ready"),
+        ];
         writeln!(watch, "{}", list(3, false, drained)).unwrap();
         // The list is read: another call goes by it.
-        let mut other = proxy.client(2, kind, 15_000);
-        let (served, _) = second.asked();
-        say(&served, "UP 2\r\n");
-        assert_eq!(line(&mut other), "UP 2\r\n");
-        assert_eq!(rest(first.let_up()), "", "{kind}: nothing is sent to a server that drains");
-        let (served, head) = second.asked();
+        let mut other = proxy.open_client(2, kind, 15_000);
+        let (served, _) = second.accept_with_first_line();
+        send(&served, "UP 2\r\n");
+        assert_eq!(read_line(&mut other), "UP 2\r\n");
+        assert_eq!(
+            read_rest(first.free_backlog_and_accept()),
+            "",
+            "{kind}: nothing is sent to a server that drains"
+        );
+        let (served, head) = second.accept_with_first_line();
         assert!(head.starts_with("OPEN 0000000000000001 "), "{head}");
-        say(&served, "UP 1\r\n");
-        assert_eq!(line(&mut client), "UP 1\r\n");
+        send(&served, "UP 1\r\n");
+        assert_eq!(read_line(&mut client), "UP 1\r\n");
     }
 }
 
@@ -73,41 +84,43 @@
         }),
     ];
     for (how, leave) in ways {
-        let (mut server, discovery) = (Place::held_up(), Place::new());
-        let proxy = Proxy::start(&patient(), discovery.at, vec![entry("s-1", server.at, "ready")]);
-        let _watch = discovery.watch(2, true, vec![entry("s-1", server.at, "ready")]);
-        let client = proxy.client(1, "feed", 15_000);
-        until("the leg is dialled", || server.is_tried());
-        proxy.tell(Signal::STOP);
-        let leg = server.let_up();
+        let (mut server, discovery) = (StubListener::with_full_backlog(), StubListener::new());
+        let proxy =
+            Proxy::start(&patient(), discovery.address, vec![server_entry("s-1", server.address, "ready")]);
+        let _watch = discovery.accept_watch(2, true, vec![server_entry("s-1", server.address, "ready")]);
+        let client = proxy.open_client(1, "feed", 15_000);
+        wait_until("the leg is dialled", || server.has_pending_connect());
+        proxy.send_signal(Signal::STOP);
+        let leg = server.free_backlog_and_accept();
         let from = client.get_ref().local_addr().unwrap();
         leave(client.into_inner());
-        until("the client's end", || proxy.has_heard_the_end_of(from));
-        proxy.tell(Signal::CONT);
-        assert_eq!(rest(leg), "", "sent on for a client that has {how}");
+        wait_until("the client's end", || proxy.has_received_close_from(from));
+        proxy.send_signal(Signal::CONT);
+        assert_eq!(read_rest(leg), "", "sent on for a client that has {how}");
     }
 }
 
 /// Clients that sent their line and left before they were accepted, as a burst of them does in a long queue.
 #[test]
 fn clients_that_left_before_they_were_accepted_are_not_sent_on() {
-    let (server, discovery) = (Place::new(), Place::new());
-    let proxy = Proxy::start(&patient(), discovery.at, vec![entry("s-1", server.at, "ready")]);
-    let _watch = discovery.watch(2, true, vec![entry("s-1", server.at, "ready")]);
-    proxy.tell(Signal::STOP);
+    let (server, discovery) = (StubListener::new(), StubListener::new());
+    let proxy =
+        Proxy::start(&patient(), discovery.address, vec![server_entry("s-1", server.address, "ready")]);
+    let _watch = discovery.accept_watch(2, true, vec![server_entry("s-1", server.address, "ready")]);
+    proxy.send_signal(Signal::STOP);
     for id in 0..40 {
-        drop(proxy.client(id, "feed", 15_000));
+        drop(proxy.open_client(id, "feed", 15_000));
     }
-    let mut stays = proxy.client(99, "feed", 15_000);
-    proxy.tell(Signal::CONT);
+    let mut stays = proxy.open_client(99, "feed", 15_000);
+    proxy.send_signal(Signal::CONT);
     loop {
         let mut leg = std::io::BufReader::new(server.accept());
         let mut head = String::new();
         let _ = std::io::BufRead::read_line(&mut leg, &mut head);
         if !head.is_empty() {
             assert!(head.starts_with("OPEN 0000000000000063 "), "sent on for one that left: {head}");
-            say(&leg, "UP 9\r\n");
-            assert_eq!(line(&mut stays), "UP 9\r\n");
+            send(&leg, "UP 9\r\n");
+            assert_eq!(read_line(&mut stays), "UP 9\r\n");
             return;
         }
     }
@@ -117,54 +130,55 @@
 /// connections were taken for silent ones and sent away, and answered legs timed out.
 #[test]
 fn a_process_that_was_held_up_reads_before_it_judges() {
-    let (server, discovery) = (Place::new(), Place::new());
+    let (server, discovery) = (StubListener::new(), StubListener::new());
     let mut told = easy();
     // A leg has two seconds.
     told["trafficTypes"][0]["setupTarget"] = json!(4000.0);
     told["trafficTypes"][0]["guardTime"] = json!(9000.0);
-    let proxy = Proxy::start(&told, discovery.at, vec![entry("s-1", server.at, "ready")]);
-    let _watch = discovery.watch(2, true, vec![entry("s-1", server.at, "ready")]);
-    let mut client = proxy.client(1, "feed", 9000);
-    let (mut standing, _) = server.asked();
-    say(&standing, "UP 1\r\n");
-    assert_eq!(line(&mut client), "UP 1\r\n");
-    let mut second = proxy.client(2, "feed", 9000);
-    let (asked, _) = server.asked();
-    say(&client, "M 1\r\n");
-    assert_eq!(line(&mut standing), "M 1\r\n");
-    proxy.tell(Signal::STOP);
-    say(&standing, "M 1\r\n");
-    say(&asked, "UP 2\r\n");
+    let proxy = Proxy::start(&told, discovery.address, vec![server_entry("s-1", server.address, "ready")]);
+    let _watch = discovery.accept_watch(2, true, vec![server_entry("s-1", server.address, "ready")]);
+    let mut client = proxy.open_client(1, "feed", 9000);
+    let (mut standing, _) = server.accept_with_first_line();
+    send(&standing, "UP 1\r\n");
+    assert_eq!(read_line(&mut client), "UP 1\r\n");
+    let mut second = proxy.open_client(2, "feed", 9000);
+    let (asked, _) = server.accept_with_first_line();
+    send(&client, "M 1\r\n");
+    assert_eq!(read_line(&mut standing), "M 1\r\n");
+    proxy.send_signal(Signal::STOP);
+    send(&standing, "M 1\r\n");
+    send(&asked, "UP 2\r\n");
     // Time itself is the matter: longer than a silence, and than the leg has.
     std::thread::sleep(Duration::from_millis(2300));
-    proxy.tell(Signal::CONT);
-    assert_eq!(line(&mut second), "UP 2\r\n");
-    assert_eq!(line(&mut client), "M 1\r\n");
-    say(&client, "M 2\r\n");
-    assert_eq!(line(&mut standing), "M 2\r\n");
-    say(&standing, "M 2\r\n");
-    assert_eq!(line(&mut client), "M 2\r\n", "it stands where it stood");
+    proxy.send_signal(Signal::CONT);
+    assert_eq!(read_line(&mut second), "UP 2\r\n");
+    assert_eq!(read_line(&mut client), "M 1\r\n");
+    send(&client, "M 2\r\n");
+    assert_eq!(read_line(&mut standing), "M 2\r\n");
+    send(&standing, "M 2\r\n");
+    assert_eq!(read_line(&mut client), "M 2\r\n", "it stands where it stood");
 }
 
 /// A client that connected while the process was about to end, all else being done: it was reset with the listener.
 #[test]
 fn who_waits_in_the_queue_when_the_process_ends_is_answered() {
-    let (server, discovery) = (Place::new(), Place::new());
-    let mut proxy = Proxy::start(&easy(), discovery.at, vec![entry("s-1", server.at, "ready")]);
-    let _watch = discovery.watch(2, true, vec![entry("s-1", server.at, "ready")]);
-    proxy.tell(Signal::TERM);
-    proxy.logs("stopping: 0 sessions are open");
-    proxy.tell(Signal::STOP);
-    let mut client = proxy.client(1, "feed", 2000);
+    let (server, discovery) = (StubListener::new(), StubListener::new());
+    let mut proxy =
+        Proxy::start(&easy(), discovery.address, vec![server_entry("s-1", server.address, "ready")]);
+    let _watch = discovery.accept_watch(2, true, vec![server_entry("s-1", server.address, "ready")]);
+    proxy.send_signal(Signal::TERM);
+    proxy.wait_for_log("stopping: 0 sessions are open");
+    proxy.send_signal(Signal::STOP);
+    let mut client = proxy.open_client(1, "feed", 2000);
     // Until nobody comes any more by its clock.
     std::thread::sleep(Duration::from_millis(600));
-    proxy.tell(Signal::CONT);
-    let (served, _) = server.asked();
-    say(&served, "UP 1\r\n");
-    assert_eq!(line(&mut client), "UP 1\r\n");
-    assert_eq!(line(&mut client), "MOVE\r\n");
+    proxy.send_signal(Signal::CONT);
+    let (served, _) = server.accept_with_first_line();
+    send(&served, "UP 1\r\n");
+    assert_eq!(read_line(&mut client), "UP 1\r\n");
+    assert_eq!(read_line(&mut client), "MOVE\r\n");
     drop(client);
-    until("it ends", || proxy.ended());
+    wait_until("it ends", || proxy.exited_successfully());
 }
 
 /// Guard times beyond the three seconds that a planned stop waits for: one hangs at its server, one stands, one comes late.
@@ -175,25 +189,26 @@
         told["trafficTypes"][at]["guardTime"] = json!(4800.0);
     }
     told["limits"]["mostLegs"] = json!(1);
-    let (server, discovery) = (Place::new(), Place::new());
-    let mut proxy = Proxy::start(&told, discovery.at, vec![entry("s-1", server.at, "ready")]);
-    let _watch = discovery.watch(2, true, vec![entry("s-1", server.at, "ready")]);
-    let mut stands = proxy.client(1, "feed", 9000);
-    let (served, _) = server.asked();
-    say(&served, "UP 1\r\n");
-    assert_eq!(line(&mut stands), "UP 1\r\n");
-    let mut hangs = proxy.client(2, "order", 9000);
-    let (_hung, _) = server.asked();
-    proxy.tell(Signal::TERM);
+    let (server, discovery) = (StubListener::new(), StubListener::new());
+    let mut proxy =
+        Proxy::start(&told, discovery.address, vec![server_entry("s-1", server.address, "ready")]);
+    let _watch = discovery.accept_watch(2, true, vec![server_entry("s-1", server.address, "ready")]);
+    let mut stands = proxy.open_client(1, "feed", 9000);
+    let (served, _) = server.accept_with_first_line();
+    send(&served, "UP 1\r\n");
+    assert_eq!(read_line(&mut stands), "UP 1\r\n");
+    let mut hangs = proxy.open_client(2, "order", 9000);
+    let (_hung, _) = server.accept_with_first_line();
+    proxy.send_signal(Signal::TERM);
     let told_at = Instant::now();
-    proxy.logs("stopping: 2 sessions are open");
-    let mut late = proxy.client(3, "note", 9000);
-    let (_late_leg, _) = server.asked();
-    assert_eq!(line(&mut stands), "MOVE\r\n");
-    assert_eq!(line(&mut hangs), "ERR\r\n", "it may have run");
-    assert_eq!(line(&mut late), "ERR\r\n");
+    proxy.wait_for_log("stopping: 2 sessions are open");
+    let mut late = proxy.open_client(3, "note", 9000);
+    let (_late_leg, _) = server.accept_with_first_line();
+    assert_eq!(read_line(&mut stands), "MOVE\r\n");
+    assert_eq!(read_line(&mut hangs), "ERR\r\n", "it may have run");
+    assert_eq!(read_line(&mut late), "ERR\r\n");
     drop((stands, hangs, late));
-    until("it ends", || proxy.ended());
+    wait_until("it ends", || proxy.exited_successfully());
     let took = told_at.elapsed();
     assert!(took < Duration::from_millis(3700), "it would have been killed: it took {took:?}");
 }
@@ -201,11 +216,11 @@
 /// A discovery whose line never ends, a byte now and then: any byte put off the end of the watch.
 #[test]
 fn a_watch_whose_line_never_ends_is_given_up() {
-    let (server, discovery) = (Place::new(), Place::new());
-    let _proxy = Proxy::start(&easy(), discovery.at, vec![entry("s-1", server.at, "ready")]);
-    let mut watch = discovery.watch(2, true, vec![entry("s-1", server.at, "ready")]);
+    let (server, discovery) = (StubListener::new(), StubListener::new());
+    let _proxy = Proxy::start(&easy(), discovery.address, vec![server_entry("s-1", server.address, "ready")]);
+    let mut watch = discovery.accept_watch(2, true, vec![server_entry("s-1", server.address, "ready")]);
     let began = Instant::now();
-    until("another watch", || {
+    wait_until("another watch", || {
         let _ = watch.write_all(b" ");
         discovery.listener.accept().is_ok()
     });
@@ -230,17 +245,18 @@
         ("UP 1", false, &["ERR\r\n"]),
     ];
     for (said, resets, seen) in cases {
-        let (server, discovery) = (Place::new(), Place::new());
-        let proxy = Proxy::start(&easy(), discovery.at, vec![entry("s-1", server.at, "ready")]);
-        let _watch = discovery.watch(2, true, vec![entry("s-1", server.at, "ready")]);
-        let client = proxy.client(1, "order", 2000);
-        let (leg, _) = server.asked();
-        say(&leg, said);
+        let (server, discovery) = (StubListener::new(), StubListener::new());
+        let proxy =
+            Proxy::start(&easy(), discovery.address, vec![server_entry("s-1", server.address, "ready")]);
+        let _watch = discovery.accept_watch(2, true, vec![server_entry("s-1", server.address, "ready")]);
+        let client = proxy.open_client(1, "order", 2000);
+        let (leg, _) = server.accept_with_first_line();
+        send(&leg, said);
         if resets {
             socket2::SockRef::from(leg.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
         }
         drop(leg);
-        let got = rest(client);
+        let got = read_rest(client);
         assert!(seen.contains(&got.as_str()), "{said:?}, reset {resets}: {got:?}");
     }
 }
@@ -249,23 +265,23 @@
 /// is given back.
 #[test]
 fn clients_that_send_much_and_go_keep_nobody_out() {
-    let (server, discovery) = (Place::new(), Place::new());
-    let proxy = Proxy::start(&easy(), discovery.at, vec![entry("s-1", server.at, "ready")]);
-    let _watch = discovery.watch(2, true, vec![entry("s-1", server.at, "ready")]);
+    let (server, discovery) = (StubListener::new(), StubListener::new());
+    let proxy = Proxy::start(&easy(), discovery.address, vec![server_entry("s-1", server.address, "ready")]);
+    let _watch = discovery.accept_watch(2, true, vec![server_entry("s-1", server.address, "ready")]);
     let (much, mut stand) = (vec![b'x'; 64 << 10], Vec::new());
     for round in 0..10 {
         for _ in 0..256 {
-            let Ok(mut socket) = TcpStream::connect(proxy.at) else { continue };
+            let Ok(mut socket) = TcpStream::connect(proxy.address) else { continue };
             socket.set_nonblocking(true).unwrap();
             let _ = socket.write(&much);
         }
-        let mut client = proxy.client(round, "feed", 2000);
-        let (leg, _) = server.asked();
-        say(&leg, "UP 1\r\n");
-        assert_eq!(line(&mut client), "UP 1\r\n", "round {round}");
+        let mut client = proxy.open_client(round, "feed", 2000);
+        let (leg, _) = server.accept_with_first_line();
+        send(&leg, "UP 1\r\n");
+        assert_eq!(read_line(&mut client), "UP 1\r\n", "round {round}");
         stand.push((client, leg));
     }
-    let mut silent = TcpStream::connect(proxy.at).unwrap();
-    silent.set_read_timeout(Some(EVER)).unwrap();
+    let mut silent = TcpStream::connect(proxy.address).unwrap();
+    silent.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
     assert_eq!(silent.read(&mut [0]).unwrap(), 0, "one that says nothing is owed an end");
 }
--- a/crates/dewhead-proxy/tests/handover.rs
+++ b/crates/dewhead-proxy/tests/handover.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::processes::{Place, Process};
+use common::processes::{Process, ServiceFixture};
 use dewhead_proxy::reducer::Event;
 use dewhead_proxy::state::handover_state;
 use serde_json::json;
@@ -20,17 +20,17 @@
 type Caller = thread::JoinHandle<(u64, Vec<String>)>;
 
 /// Clients that come without a break, on several threads, until told to stop.
-fn load(place: &Place) -> (Arc<AtomicBool>, Vec<Caller>) {
+fn load(service: &ServiceFixture) -> (Arc<AtomicBool>, Vec<Caller>) {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let stop = Arc::new(AtomicBool::new(false));
     let one = |_| {
-        let (stop, listen) = (stop.clone(), place.listen);
-        let place = Place { dir: PathBuf::new(), listen, servers: listen };
+        let (stop, listen) = (stop.clone(), service.listen);
+        let service = ServiceFixture { dir: PathBuf::new(), listen, server: listen };
         thread::spawn(move || {
             let (mut calls, mut wrong) = (0, Vec::new());
             while !stop.load(Ordering::Relaxed) {
                 calls += 1;
-                match place.open(NEXT.fetch_add(1, Ordering::Relaxed)) {
+                match service.open_call(NEXT.fetch_add(1, Ordering::Relaxed)) {
                     Ok((_, line)) if line == "UP 1\r\n" => {}
                     other => wrong.push(format!("{other:?}")),
                 }
@@ -44,20 +44,20 @@
 
 #[test]
 fn a_successor_takes_over_under_load_and_no_connect_is_refused() {
-    let place = Place::new("handover");
-    let config = place.configure("config.json", 256, false);
-    let mut old = place.serve(&config, &[]);
-    place.until(old.0.id());
-    let (standing, line) = place.open(0xffff_0000).unwrap();
+    let service = ServiceFixture::new("handover");
+    let config = service.write_configuration("config.json", 256, false);
+    let mut old = service.spawn(&config, &[]);
+    service.wait_until_answering(old.0.id());
+    let (standing, line) = service.open_call(0xffff_0000).unwrap();
     assert_eq!(line, "UP 1\r\n");
-    let (stop, threads) = load(&place);
-    let control = place.control();
+    let (stop, threads) = load(&service);
+    let control = service.control_path();
     let mut now = old.0.id();
     // One after the other, each from the one before.
     let mut heirs: Vec<Process> = Vec::new();
     for round in 0..4 {
-        let heir = place.serve(&config, &["--take-over", control.to_str().unwrap(), "--leave-in", "0.3"]);
-        let status = place.until(heir.0.id());
+        let heir = service.spawn(&config, &["--take-over", control.to_str().unwrap(), "--leave-in", "0.3"]);
+        let status = service.wait_until_answering(heir.0.id());
         assert_ne!(heir.0.id(), now);
         assert_eq!(
             (&status["stage"], &status["list_version"]),
@@ -88,15 +88,15 @@
 
 #[test]
 fn a_successor_that_fails_or_dies_leaves_the_old_one_serving() {
-    let place = Place::new("heirless");
-    let config = place.configure("config.json", 256, false);
-    let old = place.serve(&config, &[]);
-    place.until(old.0.id());
-    let control = place.control();
+    let service = ServiceFixture::new("heirless");
+    let config = service.write_configuration("config.json", 256, false);
+    let old = service.spawn(&config, &[]);
+    service.wait_until_answering(old.0.id());
+    let control = service.control_path();
     let take_over = ["--take-over", control.to_str().unwrap()];
     // A faulty configuration ends it before it has asked for anything.
-    let faulty = place.configure("faulty.json", 256, true);
-    assert!(!place.serve(&faulty, &take_over).0.wait().unwrap().success());
+    let faulty = service.write_configuration("faulty.json", 256, true);
+    assert!(!service.spawn(&faulty, &take_over).0.wait().unwrap().success());
     // One that is given the socket and goes without a word, at whatever moment.
     for asks in ["{\"do\":\"succeed\"}\n", "{\"do\":\"suc", "{\"do\":\"succeed\",\"version\":9}\n"] {
         let mut heir = UnixStream::connect(&control).unwrap();
@@ -106,35 +106,35 @@
         }
     }
     // Somebody who was not given it can't take the place; and two can't be about to.
-    assert_eq!(place.ask("{\"do\":\"succeeded\"}\n").unwrap()["ok"], false);
+    assert_eq!(service.control_request("{\"do\":\"succeeded\"}\n").unwrap()["ok"], false);
     let mut first = UnixStream::connect(&control).unwrap();
     first.write_all(b"{\"do\":\"succeed\"}\n").unwrap();
     let _ = first.read(&mut [0; 8]).unwrap();
-    assert_eq!(place.ask("{\"do\":\"succeed\"}\n").unwrap()["ok"], false);
+    assert_eq!(service.control_request("{\"do\":\"succeed\"}\n").unwrap()["ok"], false);
     drop(first);
     // A real one, killed at any time after its start.
     for wait in [0, 2, 5, 10] {
-        let heir = place.serve(&config, &take_over);
+        let heir = service.spawn(&config, &take_over);
         thread::sleep(Duration::from_millis(wait));
         drop(heir);
-        let serves = place.open(0xeeee_0000 + wait).map(|(_, line)| line);
+        let serves = service.open_call(0xeeee_0000 + wait).map(|(_, line)| line);
         // It may have taken the place already; then it is gone, and nobody serves until the next start.
         if !matches!(serves.as_deref(), Ok("UP 1\r\n")) {
             return;
         }
     }
-    place.until(old.0.id());
+    service.wait_until_answering(old.0.id());
 }
 
 #[test]
 fn a_handover_has_room_while_descriptors_are_used_up() {
-    let place = Place::new("full");
-    let config = place.configure("config.json", 64, false);
-    let old = place.serve(&config, &[]);
-    place.until(old.0.id());
+    let service = ServiceFixture::new("full");
+    let config = service.write_configuration("config.json", 64, false);
+    let old = service.spawn(&config, &[]);
+    service.wait_until_answering(old.0.id());
     // Until it refuses.
     let mut held = Vec::new();
-    while let Ok((socket, line)) = place.open(0xdddd_0000 + held.len() as u64) {
+    while let Ok((socket, line)) = service.open_call(0xdddd_0000 + held.len() as u64) {
         if line != "UP 1\r\n" {
             break;
         }
@@ -142,19 +142,19 @@
         assert!(held.len() < 64, "64 descriptors hold no more than 64 clients");
     }
     assert!(!held.is_empty());
-    let told = place.ask("{\"do\":\"handover\"}\n").unwrap();
+    let told = service.control_request("{\"do\":\"handover\"}\n").unwrap();
     assert_eq!(told["ok"], true, "{told}");
     let began = Instant::now();
-    while place.ask("{\"do\":\"status\"}\n").is_ok_and(|s| s["process"] == old.0.id()) {
+    while service.control_request("{\"do\":\"status\"}\n").is_ok_and(|s| s["process"] == old.0.id()) {
         assert!(began.elapsed() < Duration::from_secs(20), "the place is not taken");
         thread::sleep(Duration::from_millis(5));
     }
     // The new one has room.
-    let (_, line) = place.open(0xcccc_0000).unwrap();
+    let (_, line) = service.open_call(0xcccc_0000).unwrap();
     assert_eq!(line, "UP 1\r\n");
     let mut status = None;
     while status.is_none() {
-        status = place.ask("{\"do\":\"status\"}\n").ok();
+        status = service.control_request("{\"do\":\"status\"}\n").ok();
     }
     // It is nobody's child here, so that it is told to end by its id.
     let id = status.unwrap()["process"].to_string();
--- a/crates/dewhead-proxy/tests/handover_stop.rs
+++ b/crates/dewhead-proxy/tests/handover_stop.rs
@@ -10,7 +10,7 @@
 
 mod common;
 
-use common::processes::{Place, Process};
+use common::processes::{Process, ServiceFixture};
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
@@ -34,28 +34,28 @@
     successor: Process,
     at_old: Vec<TcpStream>,
     at_successor: Vec<TcpStream>,
-    _place: Place,
+    _service: ServiceFixture,
 }
 
 impl Pair {
     fn new(name: &str) -> Pair {
-        let place = Place::new(name);
-        let config = place.configure("config.json", 256, false);
-        let old = place.serve(&config, &[]);
-        place.until(old.0.id());
-        let at_old = standing(&place, 0xaaaa_0000);
-        let control = place.control();
+        let service = ServiceFixture::new(name);
+        let config = service.write_configuration("config.json", 256, false);
+        let old = service.spawn(&config, &[]);
+        service.wait_until_answering(old.0.id());
+        let at_old = standing(&service, 0xaaaa_0000);
+        let control = service.control_path();
         let take_over = ["--take-over", control.to_str().expect("a path in UTF-8"), "--leave-in", LEAVE_IN];
-        let successor = place.serve(&config, &take_over);
-        place.until(successor.0.id());
-        let at_successor = standing(&place, 0xbbbb_0000);
-        Pair { old, successor, at_old, at_successor, _place: place }
+        let successor = service.spawn(&config, &take_over);
+        service.wait_until_answering(successor.0.id());
+        let at_successor = standing(&service, 0xbbbb_0000);
+        Pair { old, successor, at_old, at_successor, _service: service }
     }
 }
 
-fn standing(place: &Place, first: u64) -> Vec<TcpStream> {
+fn standing(service: &ServiceFixture, first: u64) -> Vec<TcpStream> {
     let open = |id| {
-        let (socket, line) = place.open(id).expect("the proxy answers");
+        let (socket, line) = service.open_call(id).expect("the proxy answers");
         assert_eq!(line, "UP 1\r\n");
         socket
     };
@@ -134,18 +134,18 @@
 /// Three in a row: who retires passes the word on to the one that retires still longer.
 #[test]
 fn a_stop_reaches_all_that_retire() {
-    let place = Place::new("stop-three");
-    let config = place.configure("config.json", 256, false);
-    let control = place.control();
+    let service = ServiceFixture::new("stop-three");
+    let config = service.write_configuration("config.json", 256, false);
+    let control = service.control_path();
     let take_over = ["--take-over", control.to_str().expect("a path in UTF-8"), "--leave-in", LEAVE_IN];
-    let mut first = place.serve(&config, &[]);
-    place.until(first.0.id());
-    let mut at_first = standing(&place, 0xaaaa_0000);
-    let mut second = place.serve(&config, &take_over);
-    place.until(second.0.id());
+    let mut first = service.spawn(&config, &[]);
+    service.wait_until_answering(first.0.id());
+    let mut at_first = standing(&service, 0xaaaa_0000);
+    let mut second = service.spawn(&config, &take_over);
+    service.wait_until_answering(second.0.id());
     // Nobody stands at the second, so that it would have ended by itself at once.
-    let mut third = place.serve(&config, &take_over);
-    place.until(third.0.id());
+    let mut third = service.spawn(&config, &take_over);
+    service.wait_until_answering(third.0.id());
     std::thread::sleep(Duration::from_millis(700));
     let told = Instant::now();
     signal(&third, Signal::TERM);
@@ -157,19 +157,19 @@
 /// A supervisor that stops the service while a successor gets ready waits for both: no process serves on unseen.
 #[test]
 fn no_place_is_taken_from_a_process_that_has_been_told_to_stop() {
-    let place = Place::new("stop-first");
-    let config = place.configure("config.json", 256, false);
-    let old = place.serve(&config, &[]);
-    place.until(old.0.id());
-    let mut at_old = standing(&place, 0xaaaa_0000);
-    let mut successor = UnixStream::connect(place.control()).expect("the control socket is open");
+    let service = ServiceFixture::new("stop-first");
+    let config = service.write_configuration("config.json", 256, false);
+    let old = service.spawn(&config, &[]);
+    service.wait_until_answering(old.0.id());
+    let mut at_old = standing(&service, 0xaaaa_0000);
+    let mut successor = UnixStream::connect(service.control_path()).expect("the control socket is open");
     successor.write_all(b"{\"do\":\"succeed\"}\n").expect("it reads");
     let mut answers = BufReader::new(successor.try_clone().expect("a socket can be cloned"));
     let mut handed = String::new();
     answers.read_line(&mut handed).expect("it answers");
     let told = Instant::now();
     signal(&old, Signal::TERM);
-    while place.ask("{\"do\":\"status\"}\n").is_ok_and(|status| status["stage"] != "stopping") {
+    while service.control_request("{\"do\":\"status\"}\n").is_ok_and(|status| status["stage"] != "stopping") {
         std::thread::sleep(Duration::from_millis(2));
     }
     successor.write_all(b"{\"do\":\"succeeded\"}\n").expect("it reads");
@@ -184,11 +184,13 @@
 /// sent to the successor was answered with exit code 1 while the old process served on.
 #[test]
 fn a_successor_that_is_signalled_while_it_waits_goes_on_waiting() {
-    let place = Place::new("signalled");
-    let config = place.configure("config.json", 256, false);
-    let control = UnixListener::bind(place.control()).expect("the test answers in the old process's place");
-    let take_over = ["--take-over", place.control().to_str().expect("a path in UTF-8")].map(str::to_owned);
-    let mut successor = place.serve_telling(&config, &take_over);
+    let service = ServiceFixture::new("signalled");
+    let config = service.write_configuration("config.json", 256, false);
+    let control =
+        UnixListener::bind(service.control_path()).expect("the test answers in the old process's place");
+    let take_over =
+        ["--take-over", service.control_path().to_str().expect("a path in UTF-8")].map(str::to_owned);
+    let mut successor = service.spawn_with_log(&config, &take_over);
     let (mut asked, _) = control.accept().expect("the successor asks");
     let mut request = String::new();
     BufReader::new(asked.try_clone().expect("a socket can be cloned"))
--- a/crates/dewhead-proxy/tests/sockets.rs
+++ b/crates/dewhead-proxy/tests/sockets.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::loopback::line;
+use common::loopback::read_line;
 use common::{list, settings, ZONES};
 use dewhead_proxy::clock::Clock;
 use dewhead_proxy::event_loop::EventLoop;
@@ -26,11 +26,11 @@
         let mut socket = socket.expect("a connection");
         thread::spawn(move || {
             let mut lines = BufReader::new(socket.try_clone().unwrap());
-            let head = line(&mut lines);
+            let head = read_line(&mut lines);
             assert!(head.contains("5c7e2d41 7f3a9c21e0b4d655 c=feed,t=shop-a,d="), "{head}");
             socket.write_all(up.as_bytes()).unwrap();
             loop {
-                let said = line(&mut lines);
+                let said = read_line(&mut lines);
                 if said.is_empty() || socket.write_all(said.as_bytes()).is_err() {
                     return;
                 }
@@ -43,7 +43,7 @@
 fn tell(listener: TcpListener, list: Value) {
     for socket in listener.incoming() {
         let mut socket = socket.expect("a connection");
-        let asked = line(&mut BufReader::new(socket.try_clone().unwrap()));
+        let asked = read_line(&mut BufReader::new(socket.try_clone().unwrap()));
         assert_eq!(asked, "GET /v1/servers?follow=1&since=0 HTTP/1.1\r\n");
         let text = format!("{list}\n");
         let (a, b) = text.split_at(text.len() / 2);
@@ -104,7 +104,7 @@
                 let mut client = TcpStream::connect(at).unwrap();
                 write!(client, "OPEN 9b1f03a{n}5c7e2d41 7f3a9c21e0b4d655 c=feed,t=shop-a,d=1500\r\n")
                     .unwrap();
-                let up = line(&mut BufReader::new(client.try_clone().unwrap()));
+                let up = read_line(&mut BufReader::new(client.try_clone().unwrap()));
                 (client, up)
             })
             .collect();
@@ -131,21 +131,21 @@
     let mut client = TcpStream::connect(at).unwrap();
     let mut lines = BufReader::new(client.try_clone().unwrap());
     client.write_all(b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=feed,t=shop-a,d=1500\r\n").unwrap();
-    assert_eq!(line(&mut lines), "UP 42\r\n");
+    assert_eq!(read_line(&mut lines), "UP 42\r\n");
     // More than the sockets' buffers hold, so that writing has to wait for reading on every side.
     let much = "z".repeat(2000) + "\r\n";
     let mut sender = client.try_clone().unwrap();
     let (text, times) = (much.clone(), 4000);
     let sending = thread::spawn(move || (0..times).for_each(|_| sender.write_all(text.as_bytes()).unwrap()));
-    (0..times).for_each(|_| assert!(line(&mut lines) == much, "a line came back changed"));
+    (0..times).for_each(|_| assert!(read_line(&mut lines) == much, "a line came back changed"));
     sending.join().unwrap();
     let mut leaver = TcpStream::connect(at).unwrap();
     leaver.write_all(b"OPEN 9b1f03ab5c7e2d41 7f3a9c21e0b4d655 c=feed,t=shop-a,d=1500\r\n").unwrap();
     leaver.shutdown(Shutdown::Write).unwrap();
     leaver.read_to_end(&mut Vec::new()).unwrap();
     stop.write_all(b"x").unwrap();
-    assert_eq!(line(&mut lines), "MOVE\r\n");
-    assert_eq!(line(&mut lines), "", "and the end behind it");
+    assert_eq!(read_line(&mut lines), "MOVE\r\n");
+    assert_eq!(read_line(&mut lines), "", "and the end behind it");
     drop((client, lines));
     running.join().unwrap();
 }
@@ -175,11 +175,11 @@
     let (first, _) = old.accept().unwrap();
     write(json!("nowhere"));
     tell("-HUP");
-    while !line(&mut log).contains("field 'discovery' is not") {}
+    while !read_line(&mut log).contains("field 'discovery' is not") {}
     write(json!(new.local_addr().unwrap().to_string()));
     tell("-HUP");
     let (second, _) = new.accept().unwrap();
-    assert_eq!(line(&mut BufReader::new(second)), "GET /v1/servers?follow=1&since=0 HTTP/1.1\r\n");
+    assert_eq!(read_line(&mut BufReader::new(second)), "GET /v1/servers?follow=1&since=0 HTTP/1.1\r\n");
     BufReader::new(first).read_to_end(&mut Vec::new()).expect("the old watch was ended");
     let mut unheard = TcpStream::connect(at).unwrap();
     // Far more than the sockets' buffers hold: what is left unread at a close would reset the answer away.
--- a/crates/dewhead-proxy/tests/terms.rs
+++ b/crates/dewhead-proxy/tests/terms.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::loopback::{entry, line, rest, say, until, Place, Proxy};
+use common::loopback::{read_line, read_rest, send, server_entry, wait_until, Proxy, StubListener};
 use common::{list, settings};
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -28,34 +28,40 @@
 /// comes behind more than is read at a time.
 #[test]
 fn a_client_that_left_with_bytes_unread_is_not_sent_on() {
-    let (mut server, discovery) = (Place::held_up(), Place::new());
-    let proxy = Proxy::start(&patient(), discovery.at, vec![entry("s-1", server.at, "ready")]);
-    let _watch = discovery.watch(2, true, vec![entry("s-1", server.at, "ready")]);
-    let client = proxy.client(1, "feed", 15_000);
-    until("the leg is dialled", || server.is_tried());
-    proxy.tell(Signal::STOP);
-    let leg = server.let_up();
+    let (mut server, discovery) = (StubListener::with_full_backlog(), StubListener::new());
+    let proxy =
+        Proxy::start(&patient(), discovery.address, vec![server_entry("s-1", server.address, "ready")]);
+    let _watch = discovery.accept_watch(2, true, vec![server_entry("s-1", server.address, "ready")]);
+    let client = proxy.open_client(1, "feed", 15_000);
+    wait_until("the leg is dialled", || server.has_pending_connect());
+    proxy.send_signal(Signal::STOP);
+    let leg = server.free_backlog_and_accept();
     let from = client.get_ref().local_addr().unwrap();
     let mut client = client.into_inner();
     client.set_nonblocking(true).unwrap();
     let _ = client.write(&[b'x'; 48 << 10]);
     drop(client);
-    until("the client's end", || proxy.has_heard_the_end_of(from));
-    proxy.tell(Signal::CONT);
-    assert_eq!(rest(leg), "", "sent on for a client that has left");
+    wait_until("the client's end", || proxy.has_received_close_from(from));
+    proxy.send_signal(Signal::CONT);
+    assert_eq!(read_rest(leg), "", "sent on for a client that has left");
 }
 
 /// The first server ends the connection and the client leaves, both in one batch: no further leg is sent.
 #[test]
 fn a_client_that_left_while_its_first_leg_failed_has_no_further_one() {
-    let (servers, discovery) = ([Place::new(), Place::new()], Place::new());
-    let hosts = || vec![entry("s-1", servers[0].at, "ready"), entry("s-2", servers[1].at, "ready")];
-    let proxy = Proxy::start(&patient(), discovery.at, hosts());
-    let _watch = discovery.watch(2, true, hosts());
-    let client = proxy.client(1, "feed", 15_000);
+    let (servers, discovery) = ([StubListener::new(), StubListener::new()], StubListener::new());
+    let hosts = || {
+        vec![
+            server_entry("s-1", servers[0].address, "ready"),
+            server_entry("s-2", servers[1].address, "ready"),
+        ]
+    };
+    let proxy = Proxy::start(&patient(), discovery.address, hosts());
+    let _watch = discovery.accept_watch(2, true, hosts());
+    let client = proxy.open_client(1, "feed", 15_000);
     let next = || {
         let mut came = None;
-        until("a leg", || {
+        wait_until("a leg", || {
             came = servers.iter().find_map(|s| s.listener.accept().ok());
             came.is_some()
         });
@@ -64,22 +70,22 @@
         BufReader::new(leg)
     };
     let mut leg = next();
-    assert!(line(&mut leg).starts_with("OPEN 0000000000000001 "));
-    proxy.tell(Signal::STOP);
+    assert!(read_line(&mut leg).starts_with("OPEN 0000000000000001 "));
+    proxy.send_signal(Signal::STOP);
     drop(leg);
     let from = client.get_ref().local_addr().unwrap();
     drop(client);
-    until("the client's end", || proxy.has_heard_the_end_of(from));
-    proxy.tell(Signal::CONT);
-    let mut stays = proxy.client(2, "feed", 15_000);
+    wait_until("the client's end", || proxy.has_received_close_from(from));
+    proxy.send_signal(Signal::CONT);
+    let mut stays = proxy.open_client(2, "feed", 15_000);
     loop {
         let mut further = next();
         let mut head = String::new();
         let _ = further.read_line(&mut head);
         if !head.is_empty() {
             assert!(head.starts_with("OPEN 0000000000000002 "), "a further leg for one that left: {head}");
-            say(&further, "UP 2\r\n");
-            return assert_eq!(line(&mut stays), "UP 2\r\n");
+            send(&further, "UP 2\r\n");
+            return assert_eq!(read_line(&mut stays), "UP 2\r\n");
         }
     }
 }
@@ -88,19 +94,20 @@
 /// discovery has to tell is heard within six seconds of its return.
 #[test]
 fn idle_clients_keep_nobody_from_hearing_discovery() {
-    let (old, new, discovery) = (Place::new(), Place::new(), Place::new());
-    let proxy = Proxy::start(&patient(), discovery.at, vec![entry("s-1", old.at, "ready")]);
+    let (old, new, discovery) = (StubListener::new(), StubListener::new(), StubListener::new());
+    let proxy = Proxy::start(&patient(), discovery.address, vec![server_entry("s-1", old.address, "ready")]);
     // The watch ends; later ones come up and are not answered.
-    drop(discovery.watch(2, true, vec![entry("s-1", old.at, "ready")]));
-    let idle: Vec<TcpStream> = (0..600).map(|_| TcpStream::connect(proxy.at).unwrap()).collect();
+    drop(discovery.accept_watch(2, true, vec![server_entry("s-1", old.address, "ready")]));
+    let idle: Vec<TcpStream> = (0..600).map(|_| TcpStream::connect(proxy.address).unwrap()).collect();
     std::thread::sleep(Duration::from_millis(300));
-    let mut client = proxy.client(1, "feed", 15_000);
-    let (leg, _) = old.asked();
-    say(&leg, "UP 1\r\n");
-    assert_eq!(line(&mut client), "UP 1\r\n");
-    let idle_again: Vec<TcpStream> = (0..600).map(|_| TcpStream::connect(proxy.at).unwrap()).collect();
+    let mut client = proxy.open_client(1, "feed", 15_000);
+    let (leg, _) = old.accept_with_first_line();
+    send(&leg, "UP 1\r\n");
+    assert_eq!(read_line(&mut client), "UP 1\r\n");
+    let idle_again: Vec<TcpStream> = (0..600).map(|_| TcpStream::connect(proxy.address).unwrap()).collect();
     let back = Instant::now();
-    let hosts = || vec![entry("s-1", old.at, "draining"), entry("s-2", new.at, "ready")];
+    let hosts =
+        || vec![server_entry("s-1", old.address, "draining"), server_entry("s-2", new.address, "ready")];
     let mut watches = Vec::new();
     let mut asked = 0;
     // Whoever asked while it was silent may have given up; the answer counts on the call that still stands.
@@ -113,14 +120,14 @@
             asked += 1;
         }
         // Asks for a server again and again; served by the new one once the list is there.
-        let _ = proxy.client(100 + asked + back.elapsed().as_millis() as u64, "feed", 300);
+        let _ = proxy.open_client(100 + asked + back.elapsed().as_millis() as u64, "feed", 300);
         std::thread::sleep(Duration::from_millis(20));
         while let Ok((socket, _)) = old.listener.accept() {
             drop(socket);
         }
     }
     println!("heard {:.2} s after it was back, {asked} calls", back.elapsed().as_secs_f64());
-    assert!(proxy.memory_kb() < 32 << 10, "{} kB", proxy.memory_kb());
+    assert!(proxy.resident_memory_kb() < 32 << 10, "{} kB", proxy.resident_memory_kb());
     drop((idle, idle_again));
 }
 
@@ -137,8 +144,8 @@
     for (name, found) in
         [("nobody", Found::Nobody), ("silence", Found::Silence), ("turned away", Found::Away)]
     {
-        let (server, mut discovery) = (Place::new(), Some(Place::new()));
-        let at = discovery.as_ref().unwrap().at;
+        let (server, mut discovery) = (StubListener::new(), Some(StubListener::new()));
+        let at = discovery.as_ref().unwrap().address;
         let over = Arc::new(AtomicBool::new(false));
         let mut answers = None;
         match found {
@@ -158,7 +165,7 @@
                 }));
             }
         }
-        let (settings, known) = (settings(), vec![entry("s-1", server.at, "ready")]);
+        let (settings, known) = (settings(), vec![server_entry("s-1", server.address, "ready")]);
         let ready: Vec<f64> = std::thread::scope(|scope| {
             let starts: Vec<_> = (0..20)
                 .map(|_| {
