--- a/crates/dewhead-proxy/tests/common/loopback.rs
+++ b/crates/dewhead-proxy/tests/common/loopback.rs
@@ -210,8 +210,8 @@
         StubListener { address: listener.local_addr().unwrap(), listener, filler: None }
     }
 
-    /// A listener whose backlog is full: a connection is established only after `free_backlog_and_accept`, when the kernel
-    /// sends its SYN again.
+    /// A listener whose backlog is full: a connection is established only after `free_backlog_and_accept`, when the
+    /// kernel sends its SYN again.
     pub fn with_full_backlog() -> StubListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&address_of_this_run().into()).unwrap();
