--- a/crates/dewhead-proxy/tests/handover.rs
+++ b/crates/dewhead-proxy/tests/handover.rs
@@ -1,5 +1,5 @@
-//! A process takes another's place under load: no connect refused, nothing taken lost, and whoever dies on the way leaves
-//! the other serving.
+//! Handover: a process takes over from another under load without refusing a connect or losing an accepted call. A
+//! successor that fails on the way leaves the old process serving.
 
 mod common;
 
@@ -16,110 +16,111 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How many calls a thread made, and what went wrong.
-type Caller = thread::JoinHandle<(u64, Vec<String>)>;
+/// A thread that returns the number of its calls, and the failed ones.
+type CallerThread = thread::JoinHandle<(u64, Vec<String>)>;
 
-/// Clients that come without a break, on several threads, until told to stop.
-fn load(service: &ServiceFixture) -> (Arc<AtomicBool>, Vec<Caller>) {
-    static NEXT: AtomicU64 = AtomicU64::new(1);
+/// Starts threads that open one call after another until the flag is set.
+fn start_load(service: &ServiceFixture) -> (Arc<AtomicBool>, Vec<CallerThread>) {
+    static NEXT_CALL_ID: AtomicU64 = AtomicU64::new(1);
     let stop = Arc::new(AtomicBool::new(false));
-    let one = |_| {
+    let start_thread = |_| {
         let (stop, listen) = (stop.clone(), service.listen);
         let service = ServiceFixture { dir: PathBuf::new(), listen, server: listen };
         thread::spawn(move || {
-            let (mut calls, mut wrong) = (0, Vec::new());
+            let (mut calls, mut failed_calls) = (0, Vec::new());
             while !stop.load(Ordering::Relaxed) {
                 calls += 1;
-                match service.open_call(NEXT.fetch_add(1, Ordering::Relaxed)) {
+                match service.open_call(NEXT_CALL_ID.fetch_add(1, Ordering::Relaxed)) {
                     Ok((_, line)) if line == "UP 1\r\n" => {}
-                    other => wrong.push(format!("{other:?}")),
+                    other => failed_calls.push(format!("{other:?}")),
                 }
             }
-            (calls, wrong)
+            (calls, failed_calls)
         })
     };
-    let threads = (0..3).map(one).collect();
+    let threads = (0..3).map(start_thread).collect();
     (stop, threads)
 }
 
+/// Each of four successors takes over from the one before it.
 #[test]
-fn a_successor_takes_over_under_load_and_no_connect_is_refused() {
+fn successors_take_over_under_load_without_a_failed_call() {
     let service = ServiceFixture::new("handover");
     let config = service.write_configuration("config.json", 256, false);
     let mut old = service.spawn(&config, &[]);
     service.wait_until_answering(old.0.id());
-    let (standing, line) = service.open_call(0xffff_0000).unwrap();
+    let (established, line) = service.open_call(0xffff_0000).unwrap();
     assert_eq!(line, "UP 1\r\n");
-    let (stop, threads) = load(&service);
+    let (stop, threads) = start_load(&service);
     let control = service.control_path();
-    let mut now = old.0.id();
-    // One after the other, each from the one before.
-    let mut heirs: Vec<Process> = Vec::new();
+    let mut serving_id = old.0.id();
+    let mut successors: Vec<Process> = Vec::new();
     for round in 0..4 {
-        let heir = service.spawn(&config, &["--take-over", control.to_str().unwrap(), "--leave-in", "0.3"]);
-        let status = service.wait_until_answering(heir.0.id());
-        assert_ne!(heir.0.id(), now);
+        let successor =
+            service.spawn(&config, &["--take-over", control.to_str().unwrap(), "--leave-in", "0.3"]);
+        let status = service.wait_until_answering(successor.0.id());
+        assert_ne!(successor.0.id(), serving_id);
         assert_eq!(
             (&status["stage"], &status["list_version"]),
             (&json!("ready"), &json!(1)),
             "round {round}"
         );
-        now = heir.0.id();
-        heirs.push(heir);
+        serving_id = successor.0.id();
+        successors.push(successor);
     }
-    // Who stood at the first is told to move, and the process ends by itself.
-    let mut word = String::new();
-    BufReader::new(standing).read_line(&mut word).unwrap();
-    assert_eq!(word, "MOVE\r\n");
+    // The client of the first process receives `MOVE`, and that process exits by itself.
+    let mut answer = String::new();
+    BufReader::new(established).read_line(&mut answer).unwrap();
+    assert_eq!(answer, "MOVE\r\n");
     assert!(old.0.wait().unwrap().success());
     stop.store(true, Ordering::Relaxed);
-    let (mut calls, mut wrong) = (0, Vec::new());
+    let (mut calls, mut failed_calls) = (0, Vec::new());
     for thread in threads {
-        let (n, faults) = thread.join().unwrap();
-        calls += n;
-        wrong.extend(faults);
+        let (thread_calls, thread_failures) = thread.join().unwrap();
+        calls += thread_calls;
+        failed_calls.extend(thread_failures);
     }
-    assert!(wrong.is_empty(), "{} of {calls} calls went wrong: {}", wrong.len(), wrong[0]);
-    assert!(calls > 50, "{calls} calls are no load");
-    for heir in heirs.iter_mut().rev().skip(1) {
-        assert!(heir.0.wait().unwrap().success(), "each ends once its place is taken");
+    assert!(failed_calls.is_empty(), "{} of {calls} calls failed: {}", failed_calls.len(), failed_calls[0]);
+    assert!(calls > 50, "{calls} calls are too little load");
+    for successor in successors.iter_mut().rev().skip(1) {
+        assert!(successor.0.wait().unwrap().success(), "each exits once the next has taken over");
     }
 }
 
 #[test]
-fn a_successor_that_fails_or_dies_leaves_the_old_one_serving() {
-    let service = ServiceFixture::new("heirless");
+fn a_successor_that_fails_leaves_the_old_process_serving() {
+    let service = ServiceFixture::new("failed-successor");
     let config = service.write_configuration("config.json", 256, false);
     let old = service.spawn(&config, &[]);
     service.wait_until_answering(old.0.id());
     let control = service.control_path();
     let take_over = ["--take-over", control.to_str().unwrap()];
-    // A faulty configuration ends it before it has asked for anything.
-    let faulty = service.write_configuration("faulty.json", 256, true);
-    assert!(!service.spawn(&faulty, &take_over).0.wait().unwrap().success());
-    // One that is given the socket and goes without a word, at whatever moment.
-    for asks in ["{\"do\":\"succeed\"}\n", "{\"do\":\"suc", "{\"do\":\"succeed\",\"version\":9}\n"] {
-        let mut heir = UnixStream::connect(&control).unwrap();
-        heir.write_all(asks.as_bytes()).unwrap();
-        if asks.ends_with('\n') {
-            let _ = heir.read(&mut [0; 8]).unwrap();
+    // With a faulty configuration a successor exits before it sends a request.
+    let faulty_config = service.write_configuration("faulty.json", 256, true);
+    assert!(!service.spawn(&faulty_config, &take_over).0.wait().unwrap().success());
+    // A successor that closes the connection without notice, at different points of the handover.
+    for request in ["{\"do\":\"succeed\"}\n", "{\"do\":\"suc", "{\"do\":\"succeed\",\"version\":9}\n"] {
+        let mut successor = UnixStream::connect(&control).unwrap();
+        successor.write_all(request.as_bytes()).unwrap();
+        if request.ends_with('\n') {
+            let _ = successor.read(&mut [0; 8]).unwrap();
         }
     }
-    // Somebody who was not given it can't take the place; and two can't be about to.
+    // Without a request for the socket nobody can take over, and only one handover is possible at a time.
     assert_eq!(service.control_request("{\"do\":\"succeeded\"}\n").unwrap()["ok"], false);
-    let mut first = UnixStream::connect(&control).unwrap();
-    first.write_all(b"{\"do\":\"succeed\"}\n").unwrap();
-    let _ = first.read(&mut [0; 8]).unwrap();
+    let mut first_successor = UnixStream::connect(&control).unwrap();
+    first_successor.write_all(b"{\"do\":\"succeed\"}\n").unwrap();
+    let _ = first_successor.read(&mut [0; 8]).unwrap();
     assert_eq!(service.control_request("{\"do\":\"succeed\"}\n").unwrap()["ok"], false);
-    drop(first);
-    // A real one, killed at any time after its start.
-    for wait in [0, 2, 5, 10] {
-        let heir = service.spawn(&config, &take_over);
-        thread::sleep(Duration::from_millis(wait));
-        drop(heir);
-        let serves = service.open_call(0xeeee_0000 + wait).map(|(_, line)| line);
-        // It may have taken the place already; then it is gone, and nobody serves until the next start.
-        if !matches!(serves.as_deref(), Ok("UP 1\r\n")) {
+    drop(first_successor);
+    // A real successor that is killed at different times after its start.
+    for delay_ms in [0, 2, 5, 10] {
+        let successor = service.spawn(&config, &take_over);
+        thread::sleep(Duration::from_millis(delay_ms));
+        drop(successor);
+        let answer = service.open_call(0xeeee_0000 + delay_ms).map(|(_, line)| line);
+        // It may have taken over before it was killed; then no process serves until the next start.
+        if !matches!(answer.as_deref(), Ok("UP 1\r\n")) {
             return;
         }
     }
@@ -127,81 +128,99 @@
 }
 
 #[test]
-fn a_handover_has_room_while_descriptors_are_used_up() {
+fn a_handover_succeeds_while_descriptors_are_exhausted() {
     let service = ServiceFixture::new("full");
     let config = service.write_configuration("config.json", 64, false);
     let old = service.spawn(&config, &[]);
     service.wait_until_answering(old.0.id());
-    // Until it refuses.
-    let mut held = Vec::new();
-    while let Ok((socket, line)) = service.open_call(0xdddd_0000 + held.len() as u64) {
+    // Opens calls until one is refused.
+    let mut established = Vec::new();
+    while let Ok((socket, line)) = service.open_call(0xdddd_0000 + established.len() as u64) {
         if line != "UP 1\r\n" {
             break;
         }
-        held.push(socket);
-        assert!(held.len() < 64, "64 descriptors hold no more than 64 clients");
+        established.push(socket);
+        assert!(established.len() < 64, "64 descriptors are enough for fewer than 64 clients");
     }
-    assert!(!held.is_empty());
-    let told = service.control_request("{\"do\":\"handover\"}\n").unwrap();
-    assert_eq!(told["ok"], true, "{told}");
-    let began = Instant::now();
+    assert!(!established.is_empty());
+    let answer = service.control_request("{\"do\":\"handover\"}\n").unwrap();
+    assert_eq!(answer["ok"], true, "{answer}");
+    let started_at = Instant::now();
     while service.control_request("{\"do\":\"status\"}\n").is_ok_and(|s| s["process"] == old.0.id()) {
-        assert!(began.elapsed() < Duration::from_secs(20), "the place is not taken");
+        assert!(started_at.elapsed() < Duration::from_secs(20), "the successor does not take over");
         thread::sleep(Duration::from_millis(5));
     }
-    // The new one has room.
+    // The successor has free descriptors.
     let (_, line) = service.open_call(0xcccc_0000).unwrap();
     assert_eq!(line, "UP 1\r\n");
     let mut status = None;
     while status.is_none() {
         status = service.control_request("{\"do\":\"status\"}\n").ok();
     }
-    // It is nobody's child here, so that it is told to end by its id.
-    let id = status.unwrap()["process"].to_string();
-    assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
+    // The successor is not a child of this process, so it is stopped by its process id.
+    let process_id = status.unwrap()["process"].to_string();
+    assert!(Command::new("kill").args(["-TERM", &process_id]).status().unwrap().success());
 }
 
 #[test]
-fn what_is_handed_on_is_taken_up_as_far_as_it_makes_sense() {
-    let mut stand = common::Stand::ready(4);
-    let (_, leg) = stand.standing();
-    stand.tell(Event::Closed(
+fn handed_over_state_is_imported_only_as_far_as_it_is_valid() {
+    let mut harness = common::Stand::ready(4);
+    let (_, leg) = harness.standing();
+    harness.tell(Event::Closed(
         dewhead_proxy::reducer::Endpoint::Server(leg),
         dewhead_proxy::reducer::CloseKind::Abortive,
     ));
-    let told = stand.reducer.export_state(stand.now);
-    let read = handover_state::decode(&told).expect("it is this version's");
-    assert_eq!(read.list["hosts"].as_array().unwrap().len(), 4);
-    assert!(!read.servers.is_empty());
-    // Another process, with the list that was handed on.
-    let mut next = common::Stand::new(256, read.list.clone());
-    next.reducer.import_state(next.now + 1.0, &read);
-    let again = handover_state::decode(&next.reducer.export_state(next.now + 1.0)).unwrap();
-    let limits = |h: &handover_state::HandoverState| {
-        h.servers.iter().filter_map(|s| s.limit.map(|l| (s.server, l.0))).collect::<Vec<_>>()
+    let exported = harness.reducer.export_state(harness.now);
+    let decoded = handover_state::decode(&exported).expect("the state has the supported version");
+    assert_eq!(decoded.list["hosts"].as_array().unwrap().len(), 4);
+    assert!(!decoded.servers.is_empty());
+    // Another process, with the handed-over list.
+    let mut successor = common::Stand::new(256, decoded.list.clone());
+    successor.reducer.import_state(successor.now + 1.0, &decoded);
+    let exported_again =
+        handover_state::decode(&successor.reducer.export_state(successor.now + 1.0)).unwrap();
+    let limits = |state: &handover_state::HandoverState| {
+        state.servers.iter().filter_map(|s| s.limit.map(|l| (s.server, l.0))).collect::<Vec<_>>()
     };
-    assert!(!limits(&read).is_empty(), "a limit was learned: {told}");
-    assert_eq!(limits(&again), limits(&read));
-    let (aged, fresh) = (again.servers[0].limit.unwrap().1, read.servers[0].limit.unwrap().1);
-    assert!((aged - fresh - 1.0).abs() < 1e-6, "it is a second older: {fresh}, {aged}");
-    // Nonsense, another version and old news take nothing down and bring nothing in.
+    assert!(!limits(&decoded).is_empty(), "no limit was learned: {exported}");
+    assert_eq!(limits(&exported_again), limits(&decoded));
+    let (imported_age, original_age) =
+        (exported_again.servers[0].limit.unwrap().1, decoded.servers[0].limit.unwrap().1);
+    assert!(
+        (imported_age - original_age - 1.0).abs() < 1e-6,
+        "not one second older: {original_age}, {imported_age}"
+    );
+    // Invalid values, another version and outdated state cause no failure and are not imported.
     assert!(handover_state::decode(&json!({"version": 99})).is_none());
-    let mut bad = told.clone();
-    bad["servers"][0]["limit"] = json!([-1e300, "x"]);
-    bad["servers"].as_array_mut().unwrap().push(json!("x"));
-    bad["paces"] = json!({"x": [], "7": [1e300, 0, 1, -5]});
-    let mut other = common::Stand::new(256, read.list.clone());
-    other.reducer.import_state(other.now, &handover_state::decode(&bad).unwrap());
-    assert!(limits(&handover_state::decode(&other.reducer.export_state(other.now)).unwrap()).is_empty());
-    let mut late = common::Stand::new(256, read.list.clone());
-    late.reducer.import_state(late.now + 1e4, &read);
-    assert!(limits(&handover_state::decode(&late.reducer.export_state(late.now + 1e4)).unwrap()).is_empty());
-    // A server that has started anew is unknown.
-    let mut anew = read.list.clone();
-    for host in anew["hosts"].as_array_mut().unwrap() {
+    let mut invalid = exported.clone();
+    invalid["servers"][0]["limit"] = json!([-1e300, "x"]);
+    invalid["servers"].as_array_mut().unwrap().push(json!("x"));
+    invalid["paces"] = json!({"x": [], "7": [1e300, 0, 1, -5]});
+    let mut with_invalid_state = common::Stand::new(256, decoded.list.clone());
+    with_invalid_state
+        .reducer
+        .import_state(with_invalid_state.now, &handover_state::decode(&invalid).unwrap());
+    assert!(limits(
+        &handover_state::decode(&with_invalid_state.reducer.export_state(with_invalid_state.now)).unwrap()
+    )
+    .is_empty());
+    let mut with_outdated_state = common::Stand::new(256, decoded.list.clone());
+    with_outdated_state.reducer.import_state(with_outdated_state.now + 1e4, &decoded);
+    assert!(limits(
+        &handover_state::decode(&with_outdated_state.reducer.export_state(with_outdated_state.now + 1e4))
+            .unwrap()
+    )
+    .is_empty());
+    // What was learned of a server that has restarted is not imported.
+    let mut restarted_list = decoded.list.clone();
+    for host in restarted_list["hosts"].as_array_mut().unwrap() {
         host["born_ms"] = json!(999_000);
     }
-    let mut started = common::Stand::new(256, anew);
-    started.reducer.import_state(started.now, &read);
-    assert!(limits(&handover_state::decode(&started.reducer.export_state(started.now)).unwrap()).is_empty());
+    let mut with_restarted_servers = common::Stand::new(256, restarted_list);
+    with_restarted_servers.reducer.import_state(with_restarted_servers.now, &decoded);
+    assert!(limits(
+        &handover_state::decode(&with_restarted_servers.reducer.export_state(with_restarted_servers.now))
+            .unwrap()
+    )
+    .is_empty());
 }
