--- a/crates/dewhead-proxy/tests/stages.rs
+++ b/crates/dewhead-proxy/tests/stages.rs
@@ -1,5 +1,5 @@
-//! The life of a process: every stage and what happens in it, a real process's words to its manager, and its control
-//! socket.
+//! The stages of a process and the actions in each, the notifications of a real process to its service manager, and its
+//! control socket.
 
 mod common;
 
@@ -15,7 +15,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const ALL: [StageEvent; 10] = [
+/// Every event.
+const ALL_EVENTS: [StageEvent; 10] = [
     StageEvent::Listening,
     StageEvent::ServerListHeld(true),
     StageEvent::ServerListHeld(false),
@@ -28,39 +29,49 @@
     StageEvent::Finished,
 ];
 
-fn life(told: &[StageEvent]) -> (Stage, Vec<StageAction>) {
-    let mut life = StageMachine::default();
-    let acts = told.iter().flat_map(|t| life.handle(*t)).filter(|a| *a != StageAction::ReportStage).collect();
-    (life.stage(), acts)
+/// Applies these events to a new process. Returns the final stage, and the actions without `ReportStage`.
+fn apply_events(events: &[StageEvent]) -> (Stage, Vec<StageAction>) {
+    let mut machine = StageMachine::default();
+    let actions = events
+        .iter()
+        .flat_map(|event| machine.handle(*event))
+        .filter(|action| *action != StageAction::ReportStage)
+        .collect();
+    (machine.stage(), actions)
 }
 
 #[test]
-fn readiness_waits_for_a_list() {
-    assert_eq!(life(&[StageEvent::Listening]), (Stage::Waiting, vec![]));
+fn a_process_is_ready_only_with_a_server_list() {
+    assert_eq!(apply_events(&[StageEvent::Listening]), (Stage::Waiting, vec![]));
     assert_eq!(
-        life(&[StageEvent::Listening, StageEvent::ServerListHeld(true)]),
+        apply_events(&[StageEvent::Listening, StageEvent::ServerListHeld(true)]),
         (Stage::Ready, vec![StageAction::NotifyReady])
     );
     assert_eq!(
-        life(&[StageEvent::ServerListHeld(true), StageEvent::Listening]),
+        apply_events(&[StageEvent::ServerListHeld(true), StageEvent::Listening]),
         (Stage::Ready, vec![StageAction::NotifyReady])
     );
     assert_eq!(
-        life(&[StageEvent::Listening, StageEvent::ServerListHeld(true), StageEvent::ServerListHeld(false)]).0,
+        apply_events(&[
+            StageEvent::Listening,
+            StageEvent::ServerListHeld(true),
+            StageEvent::ServerListHeld(false)
+        ])
+        .0,
         Stage::Waiting
     );
 }
 
 #[test]
-fn a_reload_asked_for_too_early_comes_later_and_one_while_stopping_tells_nothing() {
-    let early = life(&[
+fn an_early_reload_is_deferred_and_one_while_stopping_is_not_notified() {
+    let early_reload = apply_events(&[
         StageEvent::ReloadRequested,
         StageEvent::ServerListHeld(true),
         StageEvent::Listening,
         StageEvent::ReloadFinished,
     ]);
     assert_eq!(
-        early,
+        early_reload,
         (
             Stage::Ready,
             vec![
@@ -71,7 +82,7 @@
             ]
         )
     );
-    let late = life(&[
+    let late_reload = apply_events(&[
         StageEvent::Listening,
         StageEvent::StopRequested,
         StageEvent::ReloadRequested,
@@ -79,13 +90,13 @@
         StageEvent::StopRequested,
     ]);
     assert_eq!(
-        late,
+        late_reload,
         (
             Stage::Stopping,
             vec![StageAction::NotifyStopping, StageAction::Stop, StageAction::ReloadConfiguration]
         )
     );
-    let cut = life(&[
+    let stopped_in_reload = apply_events(&[
         StageEvent::Listening,
         StageEvent::ServerListHeld(true),
         StageEvent::ReloadRequested,
@@ -93,42 +104,50 @@
         StageEvent::ReloadFinished,
         StageEvent::Finished,
     ]);
-    assert_eq!(cut.0, Stage::Stopped, "a stop in the middle of a reload");
+    assert_eq!(stopped_in_reload.0, Stage::Stopped, "a stop during a reload");
 }
 
 #[test]
-fn from_every_stage_a_stop_leads_to_the_end_and_nothing_leads_back() {
-    // All words of up to five things told, from the beginning.
-    let mut words: Vec<Vec<StageEvent>> = vec![Vec::new()];
+fn a_stop_ends_every_stage_and_is_never_reverted() {
+    // All sequences of up to five events, from the start of the process.
+    let mut sequences: Vec<Vec<StageEvent>> = vec![Vec::new()];
     for _ in 0..5 {
-        let longer =
-            words.iter().flat_map(|w| ALL.map(|t| [w.clone(), vec![t]].concat())).collect::<Vec<_>>();
-        words = longer;
-        for word in &words {
-            let (stage, acts) = life(word);
-            let stops = acts.iter().filter(|a| **a == StageAction::Stop).count();
-            let last = word
+        let extended = sequences
+            .iter()
+            .flat_map(|sequence| ALL_EVENTS.map(|event| [sequence.clone(), vec![event]].concat()))
+            .collect::<Vec<_>>();
+        sequences = extended;
+        for sequence in &sequences {
+            let (stage, actions) = apply_events(sequence);
+            let stop_count = actions.iter().filter(|action| **action == StageAction::Stop).count();
+            let stop_index = sequence
                 .iter()
-                .position(|t| matches!(t, StageEvent::StopRequested | StageEvent::SuccessorTookOver));
-            // A process that retires is stopped by a signal like any other, while it is there.
-            let over = last
-                .and_then(|at| word[at..].iter().position(|t| *t == StageEvent::Finished).map(|n| at + n));
-            let signalled = word[..over.unwrap_or(word.len())].contains(&StageEvent::StopRequested);
-            assert_eq!(stops, usize::from(signalled), "{word:?}");
+                .position(|event| matches!(event, StageEvent::StopRequested | StageEvent::SuccessorTookOver));
+            // A signal stops a retiring process like any other, until it has ended.
+            let end_index = stop_index.and_then(|start| {
+                sequence[start..]
+                    .iter()
+                    .position(|event| *event == StageEvent::Finished)
+                    .map(|offset| start + offset)
+            });
+            let signalled =
+                sequence[..end_index.unwrap_or(sequence.len())].contains(&StageEvent::StopRequested);
+            assert_eq!(stop_count, usize::from(signalled), "{sequence:?}");
             let ended = matches!(stage, Stage::Retiring | Stage::Stopping | Stage::Stopped);
-            assert_eq!(ended, last.is_some(), "{word:?}: {stage:?}");
-            let after = acts.iter().skip_while(|a| **a != StageAction::Stop);
+            assert_eq!(ended, stop_index.is_some(), "{sequence:?}: {stage:?}");
+            let after_stop = actions.iter().skip_while(|action| **action != StageAction::Stop);
             assert!(
-                !after.clone().any(|a| matches!(
-                    a,
+                !after_stop.clone().any(|action| matches!(
+                    action,
                     StageAction::NotifyReady | StageAction::Drain | StageAction::Undrain
                 )),
-                "{word:?}"
+                "{sequence:?}"
             );
-            if acts.contains(&StageAction::NotifyReady) {
+            if actions.contains(&StageAction::NotifyReady) {
                 assert!(
-                    word.contains(&StageEvent::ServerListHeld(true)) && word.contains(&StageEvent::Listening),
-                    "{word:?}"
+                    sequence.contains(&StageEvent::ServerListHeld(true))
+                        && sequence.contains(&StageEvent::Listening),
+                    "{sequence:?}"
                 );
             }
         }
@@ -136,44 +155,48 @@
 }
 
 #[test]
-fn a_drain_sends_all_away_over_its_time_and_can_be_taken_back() {
-    let mut stand = Stand::ready(3);
-    let clients: Vec<usize> = (0..40).map(|_| stand.standing().0).collect();
-    stand.tell(Event::Drain(20.0));
-    let ping = stand.connect();
-    stand.client_says(ping, "PING\r\n");
-    assert_eq!(stand.got(ping), "", "a front is not told to go on");
+fn a_drain_moves_clients_gradually_and_can_be_cancelled() {
+    let mut harness = Stand::ready(3);
+    let clients: Vec<usize> = (0..40).map(|_| harness.standing().0).collect();
+    harness.tell(Event::Drain(20.0));
+    let ping = harness.connect();
+    harness.client_says(ping, "PING\r\n");
+    assert_eq!(harness.got(ping), "", "a draining process answers no PING of a front");
     for _ in 0..100 {
-        stand.later(0.1);
+        harness.later(0.1);
     }
-    let moved =
-        |stand: &Stand| clients.iter().filter(|c| stand.clients.get(c).is_none_or(|c| c.finished)).count();
-    let halfway = moved(&stand);
-    assert!((10..=30).contains(&halfway), "{halfway} of 40 after half the time");
-    stand.tell(Event::Undrain);
-    let ping = stand.connect();
-    stand.client_says(ping, "PING\r\n");
-    assert_eq!(stand.got(ping), "PONG\r\n");
+    let count_moved = |harness: &Stand| {
+        clients
+            .iter()
+            .filter(|client| harness.clients.get(client).is_none_or(|client| client.finished))
+            .count()
+    };
+    let moved_halfway = count_moved(&harness);
+    assert!((10..=30).contains(&moved_halfway), "{moved_halfway} of 40 moved after half the time");
+    harness.tell(Event::Undrain);
+    let ping = harness.connect();
+    harness.client_says(ping, "PING\r\n");
+    assert_eq!(harness.got(ping), "PONG\r\n");
     for _ in 0..300 {
-        stand.later(0.1);
+        harness.later(0.1);
     }
-    assert_eq!(moved(&stand), halfway, "who had not left stays");
-    assert!(!stand.exit, "a drain is no end");
-    stand.tell(Event::Stop);
+    assert_eq!(count_moved(&harness), moved_halfway, "clients that had not been moved stay");
+    assert!(!harness.exit, "a drain does not end the process");
+    harness.tell(Event::Stop);
     for _ in 0..40 {
-        stand.later(0.1);
+        harness.later(0.1);
     }
-    assert!(stand.exit && moved(&stand) == 40);
+    assert!(harness.exit && count_moved(&harness) == 40);
 }
 
 #[test]
-fn requests_are_read_and_faults_name_what_is_wrong() {
+fn control_requests_are_parsed_and_errors_name_the_fault() {
     assert_eq!(protocol::parse_request(r#"{"do":"status"}"#), Ok(Request::Status));
     assert_eq!(
         protocol::parse_request(protocol::format_request("drain", Some(3.0), None).trim()),
         Ok(Request::Drain(Some(3.0)))
     );
-    for (line, named) in [
+    for (line, named_fault) in [
         ("status", "JSON"),
         ("{}", "'do'"),
         (r#"{"do":"dance"}"#, "'dance'"),
@@ -181,10 +204,11 @@
         (r#"{"do":"drain","seconds":-1}"#, "'seconds'"),
         (r#"{"do":"drain","seconds":"x"}"#, "'seconds'"),
     ] {
-        assert!(protocol::parse_request(line).unwrap_err().contains(named), "{line}");
+        assert!(protocol::parse_request(line).unwrap_err().contains(named_fault), "{line}");
     }
 }
 
+/// A process that is killed when this is dropped, so that none outlives its test.
 struct Process(Child);
 
 impl Drop for Process {
@@ -194,102 +218,104 @@
     }
 }
 
-fn asked(socket: &std::path::Path, line: &str) -> serde_json::Value {
+/// Sends one line to the control socket and returns the answer.
+fn control_request(socket: &std::path::Path, line: &str) -> serde_json::Value {
     let mut stream = UnixStream::connect(socket).expect("the control socket is open");
     stream.write_all(line.as_bytes()).unwrap();
     let mut answer = String::new();
     BufReader::new(stream).read_line(&mut answer).unwrap();
-    serde_json::from_str(&answer).expect("an answer is JSON")
+    serde_json::from_str(&answer).expect("the answer is JSON")
 }
 
 #[test]
-fn a_real_process_tells_its_manager_and_answers_its_operators() {
+fn a_real_process_notifies_its_service_manager_and_answers_control_requests() {
     let dir = std::env::temp_dir().join(format!("dewhead-stages-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    let (manager, control, path) = (dir.join("notify"), dir.join("control"), dir.join("config.json"));
-    let told = UnixDatagram::bind(&manager).unwrap();
-    told.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let (listen, closed) = (free.local_addr().unwrap(), "127.0.0.1:1");
-    drop(free);
-    // A socket that a dead process left behind is in the way of nobody.
+    let (notify_path, control, config_path) =
+        (dir.join("notify"), dir.join("control"), dir.join("config.json"));
+    let notify_socket = UnixDatagram::bind(&notify_path).unwrap();
+    notify_socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    let port_reservation = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let (listen, closed_address) = (port_reservation.local_addr().unwrap(), "127.0.0.1:1");
+    drop(port_reservation);
+    // A socket file that an earlier process left behind must not prevent the start.
     drop(std::os::unix::net::UnixListener::bind(&control).unwrap());
-    let configured = |known: serde_json::Value| {
-        json!({"name": "p", "listen": listen.to_string(), "discovery": closed, "seed": "7", "known": known,
+    let configuration = |known: serde_json::Value| {
+        json!({"name": "p", "listen": listen.to_string(), "discovery": closed_address, "seed": "7", "known": known,
                "control": control, "settings": settings()})
     };
-    std::fs::write(&path, configured(list(1, true, vec![host(1, "ready")])).to_string()).unwrap();
+    std::fs::write(&config_path, configuration(list(1, true, vec![host(1, "ready")])).to_string()).unwrap();
     let child = Command::new(env!("CARGO_BIN_EXE_dewhead"))
         .args(["serve", "--config"])
-        .arg(&path)
-        .env("NOTIFY_SOCKET", &manager)
+        .arg(&config_path)
+        .env("NOTIFY_SOCKET", &notify_path)
         .env("WATCHDOG_USEC", "400000")
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
     let mut process = Process(child);
-    let mut heard = String::new();
-    let mut until = |wanted: &str| {
-        while !heard.contains(wanted) {
-            let mut some = [0; 512];
-            let n = told
-                .recv(&mut some)
-                .unwrap_or_else(|e| panic!("'{wanted}' was not told, but '{heard}': {e}"));
-            heard.push_str(&String::from_utf8_lossy(&some[..n]));
-            heard.push('\n');
+    let mut received = String::new();
+    let mut wait_for_notification = |expected: &str| {
+        while !received.contains(expected) {
+            let mut buffer = [0; 512];
+            let length = notify_socket
+                .recv(&mut buffer)
+                .unwrap_or_else(|e| panic!("'{expected}' was not received, but '{received}': {e}"));
+            received.push_str(&String::from_utf8_lossy(&buffer[..length]));
+            received.push('\n');
         }
-        std::mem::take(&mut heard)
+        std::mem::take(&mut received)
     };
-    until("READY=1");
-    let began = Instant::now();
-    until("WATCHDOG=1");
-    until("WATCHDOG=1");
-    assert!(began.elapsed() < Duration::from_secs(2), "signs of life come in time");
+    wait_for_notification("READY=1");
+    let started_at = Instant::now();
+    wait_for_notification("WATCHDOG=1");
+    wait_for_notification("WATCHDOG=1");
+    assert!(started_at.elapsed() < Duration::from_secs(2), "watchdog notifications arrive too late");
     assert_eq!(std::fs::metadata(&control).unwrap().permissions().mode() & 0o777, 0o600);
-    let status = asked(&control, "{\"do\":\"status\"}\n");
+    let status = control_request(&control, "{\"do\":\"status\"}\n");
     assert_eq!(
         (&status["ok"], &status["stage"], &status["servers_known"]),
         (&json!(true), &json!("ready"), &json!(1))
     );
-    assert_eq!(asked(&control, "{\"do\":\"undrain\"}\n")["ok"], false);
-    assert_eq!(asked(&control, "nonsense\n")["ok"], false);
-    assert_eq!(asked(&control, "{\"do\":\"drain\",\"seconds\":1}\n")["stage"], "draining");
-    let pong = |wanted: &str| {
+    assert_eq!(control_request(&control, "{\"do\":\"undrain\"}\n")["ok"], false);
+    assert_eq!(control_request(&control, "nonsense\n")["ok"], false);
+    assert_eq!(control_request(&control, "{\"do\":\"drain\",\"seconds\":1}\n")["stage"], "draining");
+    let expect_answer_to_ping = |expected: &str| {
         let mut front = TcpStream::connect(listen).unwrap();
         front.write_all(b"PING\r\n").unwrap();
-        let mut answer = vec![0; wanted.len()];
-        let got = front.read(&mut answer).unwrap();
-        assert_eq!(&answer[..got], wanted.as_bytes());
+        let mut answer = vec![0; expected.len()];
+        let length = front.read(&mut answer).unwrap();
+        assert_eq!(&answer[..length], expected.as_bytes());
     };
-    pong("");
-    assert_eq!(asked(&control, "{\"do\":\"undrain\"}\n")["stage"], "ready");
-    pong("PONG\r\n");
-    asked(&control, "{\"do\":\"reload\"}\n");
-    let reloaded = until("RELOADING=1") + &until("READY=1");
+    expect_answer_to_ping("");
+    assert_eq!(control_request(&control, "{\"do\":\"undrain\"}\n")["stage"], "ready");
+    expect_answer_to_ping("PONG\r\n");
+    control_request(&control, "{\"do\":\"reload\"}\n");
+    let reloaded = wait_for_notification("RELOADING=1") + &wait_for_notification("READY=1");
     assert!(reloaded.contains("MONOTONIC_USEC="), "{reloaded}");
-    let ctl = |args: &[&str]| {
-        let run = Command::new(env!("CARGO_BIN_EXE_dewhead"))
+    let run_ctl = |arguments: &[&str]| {
+        let output = Command::new(env!("CARGO_BIN_EXE_dewhead"))
             .arg("ctl")
-            .args(args)
+            .args(arguments)
             .arg("--socket")
             .arg(&control)
             .output();
-        let run = run.unwrap();
-        (run.status.success(), String::from_utf8_lossy(&run.stdout).into_owned())
+        let output = output.unwrap();
+        (output.status.success(), String::from_utf8_lossy(&output.stdout).into_owned())
     };
-    let (well, text) = ctl(&["status"]);
-    assert!(well && text.contains("stage: ready"), "{text}");
-    assert!(!ctl(&["dance"]).0);
-    assert!(ctl(&["connections", "--json"]).1.starts_with('{'));
-    // SIGTERM, by the standard library's means: the shell's kill.
-    let kill = |signal: &str| {
-        let done = Command::new("kill").args([signal, &process.0.id().to_string()]).status();
-        assert!(done.unwrap().success());
+    let (succeeded, text) = run_ctl(&["status"]);
+    assert!(succeeded && text.contains("stage: ready"), "{text}");
+    assert!(!run_ctl(&["dance"]).0);
+    assert!(run_ctl(&["connections", "--json"]).1.starts_with('{'));
+    // The standard library cannot send SIGTERM, so the `kill` program does.
+    let send_signal = |signal: &str| {
+        let status = Command::new("kill").args([signal, &process.0.id().to_string()]).status();
+        assert!(status.unwrap().success());
     };
-    kill("-TERM");
-    kill("-TERM");
-    until("STOPPING=1");
+    send_signal("-TERM");
+    send_signal("-TERM");
+    wait_for_notification("STOPPING=1");
     assert!(process.0.wait().unwrap().success());
-    assert!(!control.exists(), "the socket's file goes with its process");
+    assert!(!control.exists(), "the socket file remains after the process has ended");
     std::fs::remove_dir_all(&dir).unwrap();
 }
