--- a/crates/dewhead-proxy/tests/clock.rs
+++ b/crates/dewhead-proxy/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock is set forward or back by an hour while a proxy runs; all machines read the same one.
+//! The wall clock is stepped forward or back by an hour while a proxy runs; all machines read the same wall clock.
 
 mod common;
 
@@ -10,19 +10,21 @@
 use std::io::Write;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+/// One hour, in seconds.
 const HOUR: f64 = 3600.0;
-/// By when after its start the proxy serves.
-const STEP_AFTER: f64 = 1.0;
+/// Time from the start of the test to the step of the clock, in seconds; by then the proxy serves.
+const STEP_DELAY: f64 = 1.0;
 
-/// The machine's clock, which no step has changed.
+/// Unix time by the machine's clock, which is not stepped, in seconds.
 fn true_time() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("it is past 1970").as_secs_f64()
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("the time is after 1970").as_secs_f64()
 }
 
-/// How old the proxy takes a server to be that started half a second ago by its own, wrong, clock.
-fn age_told(by: f64, started_after_the_step: bool) -> String {
+/// The age that the proxy logs for a server that started half a second ago and reports its start by the wall clock of
+/// that moment, stepped or not.
+fn logged_age(by: f64, started_after_the_step: bool) -> String {
     let (server, discovery) = (StubListener::new(), StubListener::new());
-    let from = true_time() + STEP_AFTER;
+    let from = true_time() + STEP_DELAY;
     let plan = Plan { step: ClockStep { from, by }, ..Plan::default() };
     let known = vec![server_entry("s-1", server.address, "ready")];
     let mut proxy = Proxy::start_with_environment(
@@ -36,10 +38,10 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     let started = true_time() - 0.5;
-    let shown = if started >= from { started + by } else { started };
-    let mut fresh = server_entry("s-2", server.address, "ready");
-    fresh["born_ms"] = json!((shown * 1e3).round());
-    writeln!(watch, "{}", list(3, false, vec![fresh])).expect("the watch is open");
+    let reported_start = if started >= from { started + by } else { started };
+    let mut new_server = server_entry("s-2", server.address, "ready");
+    new_server["born_ms"] = json!((reported_start * 1e3).round());
+    writeln!(watch, "{}", list(3, false, vec![new_server])).expect("the watch is open");
     loop {
         let line = common::loopback::read_line(&mut proxy.log);
         if let Some((_, age)) =
@@ -50,37 +52,38 @@
     }
 }
 
-/// Warm by mistake, a server that has just started is sent more than rule 4 allows; cold by mistake, it is spared for an hour.
+/// A cold server that is taken for a warm one is sent more than rule 4 allows; a warm one that is taken for cold gets too
+/// little traffic for an hour.
 #[test]
-fn the_age_of_a_server_does_not_follow_a_step_of_the_wall_clock() {
+fn a_step_of_the_wall_clock_does_not_change_the_age_of_a_server() {
     for by in [HOUR, -HOUR] {
         for after in [true, false] {
-            let age = age_told(by, after);
-            let sound =
+            let age = logged_age(by, after);
+            let correct =
                 ["0.5 s ago", "0.6 s ago", "0.7 s ago", "0.8 s ago", "0.9 s ago"].contains(&age.as_str());
-            assert!(sound, "clock stepped by {by} s, started after it: {after}: taken to be started {age}");
+            assert!(correct, "clock stepped by {by} s, server started after the step: {after}, age: {age}");
         }
     }
 }
 
-/// The latest start that is not in the future holds, whichever side of a step it was written on.
+/// The latest possible start that is not in the future is used, whether it was written before or after the step.
 #[test]
-fn a_start_is_put_on_the_own_clock_by_the_step_it_was_written_under() {
+fn a_start_time_is_converted_by_the_offset_under_which_it_was_written() {
     let now = 10_000.0;
     for step in [HOUR, -HOUR] {
         let mut wall = WallClock::default();
-        assert_eq!(wall.observe(0.02), None, "less than a reading may be wrong by");
+        assert_eq!(wall.observe(0.02), None, "a difference within the reading error is no step");
         assert_eq!(wall.to_process_clock(now, now - 5.0), now - 5.0);
         assert_eq!(wall.observe(step), Some(step));
         assert_eq!(wall.to_process_clock(now, now - 5.0), now - 5.0, "written before the step");
-        assert_eq!(wall.to_process_clock(now, now - 5.0 + step), now - 5.0, "written after it");
-        assert_eq!(wall.to_process_clock(now, now + 2.0 * HOUR), now, "not by any clock that was seen");
+        assert_eq!(wall.to_process_clock(now, now - 5.0 + step), now - 5.0, "written after the step");
+        assert_eq!(wall.to_process_clock(now, now + 2.0 * HOUR), now, "in the future by every known offset");
     }
 }
 
-/// A clock that is set again and again takes no more room for it.
+/// The memory for steps is bounded, however often the clock is stepped.
 #[test]
-fn only_the_latest_steps_are_remembered() {
+fn only_the_latest_steps_are_kept() {
     let mut wall = WallClock::default();
     for step in 1..=100 {
         assert!(wall.observe(f64::from(step) * HOUR).is_some());
@@ -91,6 +94,6 @@
     assert_eq!(
         wall.to_process_clock(now, now - 5.0 + 92.0 * HOUR),
         now - 5.0 - HOUR,
-        "forgotten: by the one after it"
+        "its offset is dropped, so the next one applies"
     );
 }
