--- a/crates/dewhead-proxy/tests/configuration.rs
+++ b/crates/dewhead-proxy/tests/configuration.rs
@@ -1,18 +1,18 @@
-//! What is wrong with a configuration is said in one line that names the faulty key.
+//! Validation of the configuration: each fault is reported in one line that names the key.
 
 mod common;
 
 use dewhead_proxy::lifecycle::configuration::Configuration;
 use serde_json::{json, Value};
 
-fn sound() -> Value {
+fn valid_configuration() -> Value {
     json!({"name": "n3", "listen": "127.0.0.1:8081", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 2000}, "settings": common::settings(),
            "known": common::list(4, true, vec![common::host(1, "ready")])})
 }
 
 #[test]
-fn a_fault_is_one_line_that_names_its_key() {
+fn a_fault_is_reported_in_one_line_that_names_its_key() {
     type Change = fn(&mut Value);
     let cases: [(&str, Change); 9] = [
         ("listen", |v| v["listen"] = json!("nowhere")),
@@ -26,53 +26,59 @@
         ("health", |v| v["known"]["hosts"][0]["health"] = json!("fine")),
     ];
     for (key, change) in cases {
-        let mut told = sound();
-        change(&mut told);
-        let fault = Configuration::from_json(&told).err().expect(key);
+        let mut configuration = valid_configuration();
+        change(&mut configuration);
+        let fault = Configuration::from_json(&configuration).err().expect(key);
         assert!(fault.contains(key) && !fault.contains('\n'), "{key}: {fault}");
     }
 }
 
 #[test]
-fn limits_have_defaults_and_memory_bounds_descriptors() {
-    let read = |told: &Value| Configuration::from_json(told).unwrap().max_descriptors;
-    let mut told = sound();
-    assert_eq!(read(&told), 2000);
-    told["limits"]["memory_mb"] = json!(16);
-    assert!(read(&told) < 1000);
-    told.as_object_mut().unwrap().remove("limits");
-    assert_eq!(read(&told), 1024);
+fn limits_have_defaults_and_the_memory_limit_bounds_descriptors() {
+    let max_descriptors =
+        |configuration: &Value| Configuration::from_json(configuration).unwrap().max_descriptors;
+    let mut configuration = valid_configuration();
+    assert_eq!(max_descriptors(&configuration), 2000);
+    configuration["limits"]["memory_mb"] = json!(16);
+    assert!(max_descriptors(&configuration) < 1000);
+    configuration.as_object_mut().unwrap().remove("limits");
+    assert_eq!(max_descriptors(&configuration), 1024);
 }
 
 #[test]
-fn what_needs_a_restart_is_named() {
-    let mut told = sound();
-    let (before, new) = (Configuration::from_json(&told).unwrap().restart_only, json!("127.0.0.1:8501"));
-    (told["discovery"], told["known"], told["limits"]["sockets"]) = (new.clone(), Value::Null, json!(900));
-    assert!(before.differing_keys(&Configuration::from_json(&told).unwrap().restart_only).is_empty());
-    (told["listen"], told["settings"]["deductions"]["moves"]) = (new, json!(0.5));
-    told["settings"]["tenants"] = Value::Null;
-    let after = Configuration::from_json(&told).unwrap().restart_only;
+fn changed_keys_that_need_a_restart_are_named() {
+    let mut configuration = valid_configuration();
+    let (before, new) =
+        (Configuration::from_json(&configuration).unwrap().restart_only, json!("127.0.0.1:8501"));
+    (configuration["discovery"], configuration["known"], configuration["limits"]["sockets"]) =
+        (new.clone(), Value::Null, json!(900));
+    assert!(before
+        .differing_keys(&Configuration::from_json(&configuration).unwrap().restart_only)
+        .is_empty());
+    (configuration["listen"], configuration["settings"]["deductions"]["moves"]) = (new, json!(0.5));
+    configuration["settings"]["tenants"] = Value::Null;
+    let after = Configuration::from_json(&configuration).unwrap().restart_only;
     assert_eq!(before.differing_keys(&after), ["listen", "settings.deductions", "settings.tenants"]);
 }
 
-/// What ktm-ingest's proxies are told, on top of the usual: weights that move with load, and reports on probes.
-fn live(told: &mut Value) {
-    told["settings"]["weights"] = json!("live");
-    told["settings"]["feedback"] = json!({"how": "on_probe", "fields": ["queue", "qps", "x0"]});
-    told["settings"]["limits"]["probes"] = json!(true);
+/// Changes a configuration to settings as at one site (ktm-ingest): weights follow the load, and load reports are carried
+/// by probes.
+fn use_live_weights(configuration: &mut Value) {
+    configuration["settings"]["weights"] = json!("live");
+    configuration["settings"]["feedback"] = json!({"how": "on_probe", "fields": ["queue", "qps", "x0"]});
+    configuration["settings"]["limits"]["probes"] = json!(true);
 }
 
-/// Refused at its start, a proxy serves nobody: at a site of one location whose prices name a crossing none of them came
-/// up. What is merely unusual is obeyed, with a remark where that leaves something out.
+/// A proxy that refuses its settings at the start serves no client: at a site with a single zone and a price for crossing
+/// zones no proxy started. Unusual settings are accepted, with a warning where a part of them is not applied.
 #[test]
-fn one_build_takes_any_shape_that_can_be_meant() {
+fn unusual_but_valid_settings_are_accepted() {
     type Change = fn(&mut Value);
-    let shapes: [(usize, Change); 9] = [
+    let variants: [(usize, Change); 9] = [
         (0, |_| {}),
-        (1, live),
+        (1, use_live_weights),
         (0, |v| {
-            // All in one location, and a list that must be asked for.
+            // A single zone, and a server list that the proxy has to request.
             v["settings"]["azs"] = json!(["east"]);
             v["settings"]["membershipMode"] = json!("subscribe");
             v["settings"]["weights"] = json!("rough");
@@ -89,28 +95,28 @@
             v["settings"]["obligations"]["coldShare"] = json!(0.0);
         }),
         (2, |v| {
-            live(v);
+            use_live_weights(v);
             v["settings"]["membershipMode"] = json!("subscribe");
         }),
         (1, |v| {
-            live(v);
+            use_live_weights(v);
             v["settings"]["limits"]["probes"] = json!(false);
             v["settings"]["feedback"]["fields"] = json!(["queue"]);
         }),
         (1, |v| v["settings"]["feedback"] = json!({"how": "inline", "fields": ["qps"]})),
     ];
-    for (at, (remarks, shape)) in shapes.into_iter().enumerate() {
-        let mut told = sound();
-        shape(&mut told);
-        let read = Configuration::from_json(&told);
-        let read = read.unwrap_or_else(|fault| panic!("shape {at}: {fault}"));
-        assert_eq!(read.warnings.len(), remarks, "shape {at}: {:?}", read.warnings);
-        assert!(read.warnings.iter().all(|r| r.contains("field '") && !r.contains('\n')));
+    for (index, (warning_count, change)) in variants.into_iter().enumerate() {
+        let mut configuration = valid_configuration();
+        change(&mut configuration);
+        let parsed = Configuration::from_json(&configuration);
+        let parsed = parsed.unwrap_or_else(|fault| panic!("variant {index}: {fault}"));
+        assert_eq!(parsed.warnings.len(), warning_count, "variant {index}: {:?}", parsed.warnings);
+        assert!(parsed.warnings.iter().all(|warning| warning.contains("field '") && !warning.contains('\n')));
     }
 }
 
 #[test]
-fn what_no_deployment_can_mean_is_refused_by_its_key() {
+fn meaningless_settings_are_refused_with_their_key() {
     type Change = fn(&mut Value);
     let faults: [(&str, Change); 16] = [
         ("'weights' is not", |v| v["settings"]["weights"] = json!(1)),
@@ -130,15 +136,16 @@
         ("'fields'", |v| v["settings"]["feedback"]["fields"] = json!("queue")),
         ("'feedback.how' names unknown", |v| v["settings"]["feedback"]["how"] = json!("at times")),
     ];
-    for (key, change) in faults {
-        let mut told = sound();
-        live(&mut told);
-        change(&mut told);
-        let fault = Configuration::from_json(&told).err().expect(key);
-        assert!(fault.contains(key) && !fault.contains('\n'), "{key}: {fault}");
+    for (message, change) in faults {
+        let mut configuration = valid_configuration();
+        use_live_weights(&mut configuration);
+        change(&mut configuration);
+        let fault = Configuration::from_json(&configuration).err().expect(message);
+        assert!(fault.contains(message) && !fault.contains('\n'), "{message}: {fault}");
     }
-    let (mut told, before) = (sound(), Configuration::from_json(&sound()).unwrap().restart_only);
-    live(&mut told);
-    let after = Configuration::from_json(&told).unwrap().restart_only;
+    let (mut configuration, before) =
+        (valid_configuration(), Configuration::from_json(&valid_configuration()).unwrap().restart_only);
+    use_live_weights(&mut configuration);
+    let after = Configuration::from_json(&configuration).unwrap().restart_only;
     assert_eq!(before.differing_keys(&after), ["settings.feedback", "settings.limits", "settings.weights"]);
 }
