--- a/crates/dewhead-proxy/tests/site_settings.rs
+++ b/crates/dewhead-proxy/tests/site_settings.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::loopback::{entry, line, rest, say, until, Place, Proxy};
+use common::loopback::{read_line, read_rest, send, server_entry, wait_until, Proxy, StubListener};
 use common::server_list;
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -61,15 +61,18 @@
 #[test]
 fn calls_are_served_and_a_stop_leaves_none_unanswered_with_the_settings_of_both_sites() {
     for (settings, tenant_field) in [(one_type_settings(), ""), (four_type_settings(), ",t=stall")] {
-        let (first, second, discovery) = (Place::new(), Place::new(), Place::new());
-        let hosts = |health| vec![entry("s-1", first.at, health), entry("s-2", second.at, "ready")];
-        let mut proxy = Proxy::start(&settings, discovery.at, vec![entry("s-1", first.at, "ready")]);
-        let mut watch = discovery.watch(2, true, vec![entry("s-1", first.at, "ready")]);
+        let (first, second, discovery) = (StubListener::new(), StubListener::new(), StubListener::new());
+        let hosts = |health| {
+            vec![server_entry("s-1", first.address, health), server_entry("s-2", second.address, "ready")]
+        };
+        let mut proxy =
+            Proxy::start(&settings, discovery.address, vec![server_entry("s-1", first.address, "ready")]);
+        let mut watch = discovery.accept_watch(2, true, vec![server_entry("s-1", first.address, "ready")]);
         let mut established = Vec::new();
-        let at = proxy.at;
+        let at = proxy.address;
         let open = |id: u64, name: &str, wait_ms: f64| {
             let mut client = std::net::TcpStream::connect(at).unwrap();
-            client.set_read_timeout(Some(common::loopback::EVER)).unwrap();
+            client.set_read_timeout(Some(common::loopback::STEP_TIMEOUT)).unwrap();
             write!(
                 client,
                 "OPEN {id:016x} 7f3a9c21e0b4d655 c={name}{tenant_field},d={wait_ms},g=5c0f6e1a2b3d4c59\r\n"
@@ -82,33 +85,33 @@
             let (name, guard_time_ms) =
                 (type_settings["name"].as_str().unwrap(), type_settings["guardTime"].as_f64().unwrap());
             let mut client = open(id as u64, name, guard_time_ms);
-            let (leg, head) = first.asked();
+            let (leg, head) = first.accept_with_first_line();
             assert!(head.contains(&format!("c={name}{tenant_field},d=")), "{head}");
-            say(&leg, "UP 1\r\n");
-            assert_eq!(line(&mut client), "UP 1\r\n", "{name}");
+            send(&leg, "UP 1\r\n");
+            assert_eq!(read_line(&mut client), "UP 1\r\n", "{name}");
             established.push((client, leg));
         }
         // During a drain the next call goes to the other server.
         writeln!(watch, "{}", server_list(3, false, hosts("draining"))).unwrap();
-        proxy.logs("is Draining");
+        proxy.wait_for_log("is Draining");
         let (name, guard_time_ms) =
             (traffic_types[0]["name"].as_str().unwrap(), traffic_types[0]["guardTime"].as_f64().unwrap());
         let mut client = open(100, name, guard_time_ms);
-        let (leg, _) = second.asked();
-        say(&leg, "UP 2\r\n");
-        assert_eq!(line(&mut client), "UP 2\r\n");
+        let (leg, _) = second.accept_with_first_line();
+        send(&leg, "UP 2\r\n");
+        assert_eq!(read_line(&mut client), "UP 2\r\n");
         established.push((client, leg));
         // A once-only call is unanswered at its server when the process is stopped.
         let once_only =
             traffic_types.iter().find(|t| t["idempotency"] == "fragile").unwrap()["name"].as_str().unwrap();
         let mut unanswered = open(101, once_only, guard_time_ms);
-        let (_leg, _) = second.asked();
-        proxy.tell(Signal::TERM);
-        assert_eq!(line(&mut unanswered), "ERR\r\n", "not rejected, as the call may have run");
+        let (_leg, _) = second.accept_with_first_line();
+        proxy.send_signal(Signal::TERM);
+        assert_eq!(read_line(&mut unanswered), "ERR\r\n", "not rejected, as the call may have run");
         for (client, _) in established {
-            assert_eq!(rest(client), "MOVE\r\n", "an established client is moved");
+            assert_eq!(read_rest(client), "MOVE\r\n", "an established client is moved");
         }
         drop(unanswered);
-        until("the process exits", || proxy.ended());
+        wait_until("the process exits", || proxy.exited_successfully());
     }
 }
