--- a/crates/dewhead-world/src/audit.rs
+++ b/crates/dewhead-world/src/audit.rs
@@ -1,6 +1,6 @@
-//! The auditor. It sees what crosses the wires at the proxies' edge, and nothing else; it reads the published protocol
-//! by itself and shares no code with the proxy. It keeps, for each open call, what was seen of it, and says which rule a
-//! proxy has broken, with the call's whole trace.
+//! The auditor checks the rules that a proxy must keep. It observes only the bytes and connection ends at the
+//! proxies' edge, has its own reader of the published protocol and shares no code with the proxy. It keeps a
+//! record of each open call and reports each violation together with the call's whole trace.
 
 mod cold_start;
 
@@ -12,685 +12,766 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The rules, by what breaks them.
+/// The rules that are checked. The numbers are those of the published rules.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// 1: exactly one final answer, in time, and nothing after it.
+    /// Rule 1: each call gets exactly one final answer, within its guard time, and nothing after it.
     OneAnswer,
-    /// 2: no effect twice; legs overlap and follow only where allowed.
+    /// Rule 2: no call takes effect twice; legs overlap or follow each other only where that is allowed.
     NoEffectTwice,
-    /// 3: nothing new to a draining or gone node past the grace.
+    /// Rule 3: no new call is sent to a draining or removed node once the drain grace is over.
     Drains,
-    /// 4: no cold node pushed over.
+    /// Rule 4: no cold node is overloaded.
     ColdNodes,
-    /// No standing connection cut off without `MOVE` while its server answers, or kept once it is lost.
+    /// No established connection is closed without `MOVE` while its server responds, or kept after its server
+    /// is lost.
     NoCut,
-    /// No line held back, and none made up.
+    /// No line is delayed, altered or invented.
     Lines,
 }
 
+/// A rule that a proxy has broken, with the evidence.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
+    /// The rule that was broken.
     pub rule: Rule,
+    /// What happened, in a sentence.
     #[serde(rename = "what")]
     pub description: String,
+    /// Time of the violation, in seconds from the start of the experiment.
     pub at: f64,
+    /// Index of the proxy.
     pub proxy: usize,
-    /// The call's id, where it is one call's.
+    /// Id of the call, if the violation concerns a single call.
     pub call: Option<String>,
-    /// What was seen of it, in order: seconds and words.
+    /// The observations of the call, in order: time in seconds, and text.
     pub trace: Vec<(f64, String)>,
 }
 
-/// Bytes that go through a proxy one way.
+/// The bytes that a proxy forwards in one direction.
 #[derive(Default)]
 struct Flow {
-    /// Those that came and have not gone on; a buffer that a sound proxy empties at once.
-    waiting: VecDeque<u8>,
-    /// Whether what has gone on ends within a line.
-    within: bool,
-    /// Since when some wait.
-    since: Option<f64>,
+    /// Bytes that the proxy has received and not yet forwarded. A correct proxy empties this buffer without
+    /// delay.
+    buffered: VecDeque<u8>,
+    /// Whether the bytes forwarded so far end within a line.
+    mid_line: bool,
+    /// Since when the buffer has not been empty.
+    buffered_since: Option<f64>,
 }
 
 impl Flow {
-    fn comes(&mut self, now: f64, bytes: &[u8]) {
+    /// Adds bytes that the proxy has received.
+    fn receive(&mut self, now: f64, bytes: &[u8]) {
         if !bytes.is_empty() {
-            self.waiting.extend(bytes);
-            self.since.get_or_insert(now);
+            self.buffered.extend(bytes);
+            self.buffered_since.get_or_insert(now);
         }
     }
 
-    /// How many of these bytes are the next of those that came.
-    fn alike(&self, bytes: &[u8]) -> usize {
-        self.waiting.iter().zip(bytes).take_while(|(a, b)| a == b).count()
+    /// Returns how many of these bytes match the next bytes in the buffer.
+    fn matching_prefix(&self, bytes: &[u8]) -> usize {
+        self.buffered.iter().zip(bytes).take_while(|(a, b)| a == b).count()
     }
 
-    /// So many of these have gone on.
-    fn goes(&mut self, now: f64, bytes: &[u8]) {
-        self.waiting.drain(..bytes.len());
-        self.since = (!self.waiting.is_empty()).then_some(now);
-        self.within = bytes.last().map_or(self.within, |last| *last != b'\n');
+    /// Removes bytes that the proxy has forwarded.
+    fn forward(&mut self, now: f64, bytes: &[u8]) {
+        self.buffered.drain(..bytes.len());
+        self.buffered_since = (!self.buffered.is_empty()).then_some(now);
+        self.mid_line = bytes.last().map_or(self.mid_line, |last| *last != b'\n');
     }
 }
 
+/// The result of a leg as far as it can be known at the proxy's edge.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Outcome {
-    Out,
-    Up,
-    /// It provably never ran.
-    Never,
-    /// It may have.
-    Perhaps,
+enum LegOutcome {
+    /// No answer yet.
+    Pending,
+    /// The server has answered `UP`.
+    Established,
+    /// The call provably did not run at the server.
+    NotRun,
+    /// The call may have run at the server.
+    MayHaveRun,
 }
 
+/// An attempt of a call at a node, observed on the proxy's connection to that node.
 struct Leg {
     proxy: usize,
     node: usize,
     call: Option<u64>,
-    /// The first line, until it is whole; when its first byte and its last were written.
-    head: Bytes,
-    first: Option<f64>,
-    sent: Option<f64>,
-    /// The answer's line, until it is whole, and the receipt of an `UP`.
-    answer: Bytes,
+    /// The first line until it is complete, and the times when its first and its last byte were written.
+    open_line: Bytes,
+    first_byte_at: Option<f64>,
+    sent_at: Option<f64>,
+    /// The server's answer line until it is complete, and the receipt of an `UP`.
+    answer_line: Bytes,
     receipt: Option<Bytes>,
-    outcome: Outcome,
-    down: Flow,
-    up: Flow,
-    heard: f64,
-    /// Its last line told of the end.
-    farewell: bool,
-    tail: Bytes,
-    far_ended: Option<f64>,
-    proxy_ended: Option<f64>,
+    outcome: LegOutcome,
+    to_client: Flow,
+    to_server: Flow,
+    last_received: f64,
+    /// Whether the server's last complete line announced the end of the connection.
+    announced_end: bool,
+    partial_line: Bytes,
+    server_ended_at: Option<f64>,
+    proxy_ended_at: Option<f64>,
 }
 
-/// Whether a proxy's processes have been killed, and what is owed then.
+/// Whether a proxy's processes have been killed, and what they still owed their clients.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Killed {
-    No,
-    /// Outright: what they held is their clients' to repeat.
-    Outright,
-    /// After a signal to stop and the time that it leaves: all should have been answered and sent away.
+enum KillState {
+    NotKilled,
+    /// SIGKILL without a preceding stop: the clients repeat the calls that were open.
+    Immediate,
+    /// SIGKILL after a stop and the time allowed for it: all calls must have been answered and all clients
+    /// sent away.
     AfterStop,
 }
 
-enum Seen {
+/// What the auditor knows of one link, by the kind of its remote end.
+enum ObservedLink {
+    /// A client, with its call's id once known and its first line until that is complete.
     Client(Option<u64>, Bytes),
     Leg(Box<Leg>),
     Watch(Watch),
-    Bad,
+    Misbehaving,
     Front,
 }
 
-/// A watch as it is read: the line under way.
+/// A discovery stream, with the line received so far.
 #[derive(Default)]
 struct Watch {
     line: Vec<u8>,
 }
 
+/// A call that is open at a proxy.
 struct Call {
     proxy: usize,
     link: LinkKey,
-    kind: usize,
-    until: f64,
-    put_back: bool,
+    traffic_type: usize,
+    deadline: f64,
+    restored: bool,
     legs: Vec<LinkKey>,
-    /// The first leg that may have run: when it was sent, and to which node.
-    ran: Option<(f64, usize)>,
-    sent: u32,
+    /// The first leg that may have run: the time it was sent, and its node.
+    first_run: Option<(f64, usize)>,
+    legs_sent: u32,
     answered: bool,
-    standing: Option<LinkKey>,
-    /// The proxy's own word to a standing client, so far.
-    own: Bytes,
-    answer: Bytes,
-    /// The client's line that nothing has come back for.
-    unanswered: Option<f64>,
-    server_ended: Option<f64>,
+    bound_leg: Option<LinkKey>,
+    /// The bytes that the proxy itself, rather than the server, has written to a client with an established
+    /// connection.
+    proxy_line: Bytes,
+    answer_line: Bytes,
+    /// Since when a line of the client has had no response from the server.
+    unanswered_since: Option<f64>,
+    server_ended_at: Option<f64>,
     trace: Vec<(f64, String)>,
 }
 
-struct Told {
-    /// Since when the proxy has been told that the node is not to be used; when at the latest it counts as told.
-    away: Option<f64>,
-    away_by: Option<f64>,
-    /// The same for the node's latest start: its time, and when it was told or counts as told.
+/// What a proxy has been told about a node.
+struct NodeNotice {
+    /// When discovery told the proxy not to use the node, and the latest time by which it counts as told.
+    unusable_at: Option<f64>,
+    unusable_deadline: Option<f64>,
+    /// The node's latest start: its time, and when the proxy was told of it or counts as told.
     start: Option<(f64, f64)>,
 }
 
+/// Observes all links of the proxies and collects the violations of the rules.
 pub struct Auditor {
-    kinds: Vec<(String, Repeatability, Scope, f64)>,
-    most_legs: u32,
+    traffic_types: Vec<(String, Repeatability, Scope, f64)>,
+    max_legs: u32,
     second_copies: bool,
-    grace: f64,
+    drain_grace: f64,
     cold_start: ColdStartRule,
-    /// Nodes' sizes in standard cores, and what was sent to each while it was cold.
+    /// By node: the capacity in standard cores, and the calls sent to it while it was cold.
     cores: Vec<f64>,
-    cold: Vec<ColdNode>,
-    places: Vec<(usize, u64)>,
-    names: BTreeMap<String, usize>,
-    /// By key and not by slot: a leg may be needed after its link has gone, as lines of it are still on their way, and the
-    /// slot is another link's by then.
-    seen: BTreeMap<LinkKey, Seen>,
+    cold_nodes: Vec<ColdNode>,
+    node_locations: Vec<(usize, u64)>,
+    node_names: BTreeMap<String, usize>,
+    /// The observed links. They are stored by key, not by slot: a leg can outlive its link, because lines of
+    /// it are still on their way through the proxy, and the slot may have been given to another link by then.
+    links: BTreeMap<LinkKey, ObservedLink>,
     calls: BTreeMap<u64, Call>,
-    /// Calls that ended a moment ago, for hosts whose proxies learn of it a moment later.
-    past: VecDeque<(f64, u64)>,
-    told: Vec<Vec<Told>>,
-    /// Legs that seemed to overlap: the earlier, and since when.
+    /// Calls that ended a moment ago, with the time. A proxy on sockets learns of an end slightly later.
+    recent_calls: VecDeque<(f64, u64)>,
+    notices: Vec<Vec<NodeNotice>>,
+    /// Legs that appear to overlap: the earlier leg, the call, and since when.
     overlaps: Vec<(LinkKey, u64, f64)>,
-    killed: Vec<Killed>,
-    /// How much later than the edge a proxy may see things: 0 in simulated time, a little on sockets.
+    kill_states: Vec<KillState>,
+    /// How much later than the auditor a proxy may observe the same event, in seconds: 0 in simulated time,
+    /// more on sockets.
     pub observation_slack: f64,
+    /// The seed of the experiment.
     pub seed: u64,
+    /// The violations found, in order; at most `MAX_VIOLATIONS` are kept.
     pub violations: Vec<Violation>,
-    /// Calls taken so far, and how many of them got which answer; for the count that none is missing.
+    /// The number of calls accepted, and of answers by kind (`UP`, `BUSY`, other), to check that none is
+    /// missing.
     pub calls_accepted: u64,
     pub answer_counts: [u64; 3],
-    next_second: f64,
+    next_check: f64,
 }
 
-/// Each time limit is this much longer on sockets, and for what travels.
-const SLACK: f64 = 0.05;
-/// What discovery has to tell counts as told after this, whether it arrived or not.
-const DEEMED_TOLD: f64 = 6.0;
-/// A line is not held for longer.
-const HELD: f64 = 1.0;
-/// A connection that its server has ended is ended or moved by then, a silent one by that.
-const SERVER_ENDED: f64 = 1.0;
-const SILENT: f64 = 7.0;
-/// A server that has said something so lately still answers.
-const ANSWERS: f64 = 4.0;
-/// But not one that leaves a line without an answer for so long.
-const NO_ANSWER: f64 = 2.0;
-/// Nor one that stopped within a line so long ago.
-const STUCK: f64 = 0.8;
-/// So many breaches are kept.
-const KEPT: usize = 100;
-
-/// Whether the proxy has begun to say its own last word.
-fn call_is_told(calls: &BTreeMap<u64, Call>, id: u64) -> bool {
-    calls.get(&id).is_some_and(|c| !c.own.is_empty())
+/// Tolerance added to each time limit, in seconds, for data in transit.
+const TIME_TOLERANCE: f64 = 0.05;
+/// Time after which a proxy counts as told of what its discovery agent knows, whether the update arrived or
+/// not, in seconds.
+const NOTICE_DEADLINE: f64 = 6.0;
+/// Longest time for which a proxy may hold a line back, in seconds.
+const MAX_LINE_DELAY: f64 = 1.0;
+/// Time within which a proxy ends or moves a connection, in seconds: after its server has ended it, and after
+/// its server has become silent.
+const SERVER_END_DEADLINE: f64 = 1.0;
+const SILENCE_DEADLINE: f64 = 7.0;
+/// A server that has written something within this time counts as responding, in seconds.
+const RESPONSE_WINDOW: f64 = 4.0;
+/// A server that leaves a line unanswered for longer than this does not count as responding, in seconds.
+const UNANSWERED_LIMIT: f64 = 2.0;
+/// Neither does a server that stopped within a line longer ago than this, in seconds.
+const PARTIAL_LINE_LIMIT: f64 = 0.8;
+/// Limit on the number of violations kept.
+const MAX_VIOLATIONS: usize = 100;
+
+/// Whether the proxy has begun to write its own line to the client.
+fn proxy_line_started(calls: &BTreeMap<u64, Call>, id: u64) -> bool {
+    calls.get(&id).is_some_and(|c| !c.proxy_line.is_empty())
 }
 
+/// Returns the value of a named field of a comma-separated `name=value` list.
 fn field<'a>(list: &'a str, name: &str) -> Option<&'a str> {
     list.split(',').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
 }
 
+/// The start of a message as text for a trace.
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).trim_end().chars().take(120).collect()
 }
 
 impl Auditor {
-    pub(crate) fn new<C>(of: &Experiment, seed: u64, nodes: &[Node<C>], names: &[String]) -> Auditor {
-        let told = || Told { away: None, away_by: None, start: None };
+    pub(crate) fn new<C>(
+        experiment: &Experiment,
+        seed: u64,
+        nodes: &[Node<C>],
+        node_names: &[String],
+    ) -> Auditor {
+        let notice = || NodeNotice { unusable_at: None, unusable_deadline: None, start: None };
         Auditor {
-            kinds: of.traffic.iter().map(|t| (t.name.clone(), t.repeatability, t.scope, t.window)).collect(),
-            most_legs: of.rules.max_legs,
-            second_copies: of.rules.second_copies,
-            grace: of.rules.drain_grace,
-            cold_start: ColdStartRule::of(of),
+            traffic_types: experiment
+                .traffic
+                .iter()
+                .map(|t| (t.name.clone(), t.repeatability, t.scope, t.window))
+                .collect(),
+            max_legs: experiment.rules.max_legs,
+            second_copies: experiment.rules.second_copies,
+            drain_grace: experiment.rules.drain_grace,
+            cold_start: ColdStartRule::new(experiment),
             cores: nodes.iter().map(|n| n.warm_capacity).collect(),
-            cold: nodes.iter().map(|_| ColdNode::default()).collect(),
-            places: nodes.iter().map(|n| (n.zone, n.cell)).collect(),
-            names: names.iter().cloned().enumerate().map(|(n, name)| (name, n)).collect(),
-            seen: BTreeMap::new(),
+            cold_nodes: nodes.iter().map(|_| ColdNode::default()).collect(),
+            node_locations: nodes.iter().map(|n| (n.zone, n.cell)).collect(),
+            node_names: node_names.iter().cloned().enumerate().map(|(n, name)| (name, n)).collect(),
+            links: BTreeMap::new(),
             calls: BTreeMap::new(),
-            past: VecDeque::new(),
-            told: (0..of.fleet.proxies).map(|_| (0..nodes.len()).map(|_| told()).collect()).collect(),
+            recent_calls: VecDeque::new(),
+            notices: (0..experiment.fleet.proxies)
+                .map(|_| (0..nodes.len()).map(|_| notice()).collect())
+                .collect(),
             overlaps: Vec::new(),
-            killed: vec![Killed::No; of.fleet.proxies],
+            kill_states: vec![KillState::NotKilled; experiment.fleet.proxies],
             observation_slack: 0.0,
             seed,
             violations: Vec::new(),
             calls_accepted: 0,
             answer_counts: [0; 3],
-            next_second: 0.0,
+            next_check: 0.0,
         }
     }
 
-    fn breach(&mut self, now: f64, rule: Rule, proxy: usize, call: Option<u64>, what: String) {
-        if self.violations.len() >= KEPT {
+    /// Stores a violation with the trace of its call.
+    fn report_violation(
+        &mut self,
+        now: f64,
+        rule: Rule,
+        proxy: usize,
+        call: Option<u64>,
+        description: String,
+    ) {
+        if self.violations.len() >= MAX_VIOLATIONS {
             return;
         }
         let trace = call.and_then(|c| self.calls.get(&c)).map_or(Vec::new(), |c| c.trace.clone());
         let call = call.map(|c| format!("{c:016x}"));
-        self.violations.push(Violation { rule, description: what, at: now, proxy, call, trace });
+        self.violations.push(Violation { rule, description, at: now, proxy, call, trace });
     }
 
-    fn trace(&mut self, now: f64, call: Option<u64>, what: impl FnOnce() -> String) {
+    /// Adds an observation to the trace of an open call.
+    fn record_trace(&mut self, now: f64, call: Option<u64>, what: impl FnOnce() -> String) {
         if let Some(call) = call.and_then(|c| self.calls.get_mut(&c)) {
-            // A call's story is short; what stands for minutes and moves many lines is not told line by line.
+            // Bounds the trace: a connection that stays established for minutes forwards many lines.
             if call.trace.len() < 64 {
                 call.trace.push((now, what()));
             }
         }
     }
 
-    // What the world tells of the wires.
+    // Observations that the world reports.
 
-    pub(crate) fn connected(&mut self, _now: f64, key: LinkKey, _proxy: usize, far: Peer) {
-        let seen = match far {
-            Peer::Client(_) => Seen::Client(None, Bytes::new()),
-            Peer::Bad(_) => Seen::Bad,
-            _ => Seen::Front,
+    /// A client or the front layer has connected to a proxy.
+    pub(crate) fn on_connected(&mut self, _now: f64, key: LinkKey, _proxy: usize, peer: Peer) {
+        let link = match peer {
+            Peer::Client(_) => ObservedLink::Client(None, Bytes::new()),
+            Peer::Misbehaving(_) => ObservedLink::Misbehaving,
+            _ => ObservedLink::Front,
         };
-        self.seen.insert(key, seen);
+        self.links.insert(key, link);
     }
 
-    pub(crate) fn dialled(&mut self, now: f64, key: LinkKey, proxy: usize, node: usize) {
+    /// A proxy has begun to connect to a node.
+    pub(crate) fn on_dial(&mut self, now: f64, key: LinkKey, proxy: usize, node: usize) {
         let leg = Leg {
             proxy,
             node,
             call: None,
-            head: Bytes::new(),
-            first: None,
-            sent: None,
-            answer: Bytes::new(),
+            open_line: Bytes::new(),
+            first_byte_at: None,
+            sent_at: None,
+            answer_line: Bytes::new(),
             receipt: None,
-            outcome: Outcome::Out,
-            down: Flow::default(),
-            up: Flow::default(),
-            heard: now,
-            farewell: false,
-            tail: Bytes::new(),
-            far_ended: None,
-            proxy_ended: None,
+            outcome: LegOutcome::Pending,
+            to_client: Flow::default(),
+            to_server: Flow::default(),
+            last_received: now,
+            announced_end: false,
+            partial_line: Bytes::new(),
+            server_ended_at: None,
+            proxy_ended_at: None,
         };
-        self.seen.insert(key, Seen::Leg(Box::new(leg)));
+        self.links.insert(key, ObservedLink::Leg(Box::new(leg)));
     }
 
-    pub(crate) fn refused(&mut self, _now: f64, key: LinkKey) {
-        self.seen.remove(&key);
+    /// A connection that a proxy has begun was refused.
+    pub(crate) fn on_refused(&mut self, _now: f64, key: LinkKey) {
+        self.links.remove(&key);
     }
 
-    /// Bytes reach a proxy.
-    pub(crate) fn toward(&mut self, now: f64, key: LinkKey, proxy: usize, bytes: &[u8]) {
-        match self.seen.get_mut(&key) {
-            Some(Seen::Client(None, line)) => {
+    /// Bytes have arrived at a proxy.
+    pub(crate) fn on_bytes_received(&mut self, now: f64, key: LinkKey, proxy: usize, bytes: &[u8]) {
+        match self.links.get_mut(&key) {
+            Some(ObservedLink::Client(None, line)) => {
                 line.extend_from_slice(bytes);
                 if let Some(end) = line.iter().position(|b| *b == b'\n') {
-                    let head = String::from_utf8_lossy(&line[..end]).trim_end().to_owned();
+                    let open_line = String::from_utf8_lossy(&line[..end]).trim_end().to_owned();
                     let rest = Bytes::from_slice(&line[end + 1..]);
                     *line = Bytes::new();
-                    self.taken(now, key, proxy, &head);
+                    self.on_call(now, key, proxy, &open_line);
                     if !rest.is_empty() {
-                        self.toward(now, key, proxy, &rest);
+                        self.on_bytes_received(now, key, proxy, &rest);
                     }
                 }
             }
-            Some(Seen::Client(Some(call), _)) => {
+            Some(ObservedLink::Client(Some(call), _)) => {
                 let call = *call;
-                if let Some(one) = self.calls.get_mut(&call) {
-                    one.unanswered.get_or_insert(now);
-                    if let Some(leg) = one.standing {
-                        if let Some(Seen::Leg(leg)) = self.seen.get_mut(&leg) {
-                            leg.up.comes(now, bytes);
+                if let Some(open_call) = self.calls.get_mut(&call) {
+                    open_call.unanswered_since.get_or_insert(now);
+                    if let Some(leg) = open_call.bound_leg {
+                        if let Some(ObservedLink::Leg(leg)) = self.links.get_mut(&leg) {
+                            leg.to_server.receive(now, bytes);
                         }
                     }
                 }
             }
-            Some(Seen::Leg(_)) => self.node_said(now, key, bytes),
-            Some(Seen::Watch(_)) => self.watch_said(now, key, proxy, bytes),
-            Some(Seen::Bad | Seen::Front) => {}
+            Some(ObservedLink::Leg(_)) => self.on_node_bytes(now, key, bytes),
+            Some(ObservedLink::Watch(_)) => self.on_watch_bytes(now, key, proxy, bytes),
+            Some(ObservedLink::Misbehaving | ObservedLink::Front) => {}
             None => {
-                // A link that a proxy dialled and that is no node's is its discovery's.
-                self.seen.insert(key, Seen::Watch(Watch::default()));
-                self.watch_said(now, key, proxy, bytes);
+                // A link that a proxy opened and that does not lead to a node leads to its discovery agent.
+                self.links.insert(key, ObservedLink::Watch(Watch::default()));
+                self.on_watch_bytes(now, key, proxy, bytes);
             }
         }
     }
 
-    fn taken(&mut self, now: f64, key: LinkKey, proxy: usize, head: &str) {
-        let mut words = head.split(' ');
+    /// A call's first line has arrived at a proxy.
+    fn on_call(&mut self, now: f64, key: LinkKey, proxy: usize, open_line: &str) {
+        let mut words = open_line.split(' ');
         let id = words.nth(1).and_then(|id| u64::from_str_radix(id, 16).ok());
         let list = words.nth(1).unwrap_or("");
-        let kind = field(list, "c").and_then(|c| self.kinds.iter().position(|k| k.0 == c));
-        let within = field(list, "d").and_then(|d| d.parse::<f64>().ok());
-        let (Some(id), Some(kind), Some(within)) = (id, kind, within) else { return };
+        let traffic_type = field(list, "c").and_then(|c| self.traffic_types.iter().position(|k| k.0 == c));
+        let time_left = field(list, "d").and_then(|d| d.parse::<f64>().ok());
+        let (Some(id), Some(traffic_type), Some(time_left)) = (id, traffic_type, time_left) else { return };
         self.calls_accepted += 1;
-        self.seen.insert(key, Seen::Client(Some(id), Bytes::new()));
+        self.links.insert(key, ObservedLink::Client(Some(id), Bytes::new()));
         let call = Call {
             proxy,
             link: key,
-            kind,
-            until: now + within / 1e3,
-            put_back: field(list, "at").is_some(),
+            traffic_type,
+            deadline: now + time_left / 1e3,
+            restored: field(list, "at").is_some(),
             legs: Vec::new(),
-            ran: None,
-            sent: 0,
+            first_run: None,
+            legs_sent: 0,
             answered: false,
-            standing: None,
-            own: Bytes::new(),
-            answer: Bytes::new(),
-            unanswered: None,
-            server_ended: None,
-            trace: vec![(now, format!("proxy {proxy} takes '{}'", text(head.as_bytes())))],
+            bound_leg: None,
+            proxy_line: Bytes::new(),
+            answer_line: Bytes::new(),
+            unanswered_since: None,
+            server_ended_at: None,
+            trace: vec![(now, format!("proxy {proxy} accepts '{}'", text(open_line.as_bytes())))],
         };
         self.calls.insert(id, call);
     }
 
-    /// A node's bytes reach a proxy.
-    fn node_said(&mut self, now: f64, key: LinkKey, bytes: &[u8]) {
-        let Some(Seen::Leg(leg)) = self.seen.get_mut(&key) else { return };
-        leg.heard = now;
-        leg.down.comes(now, bytes);
-        // A flow that is bound to no client is not held back.
-        if leg.outcome != Outcome::Up {
-            leg.down.since = None;
+    /// Bytes of a node have arrived at a proxy.
+    fn on_node_bytes(&mut self, now: f64, key: LinkKey, bytes: &[u8]) {
+        let Some(ObservedLink::Leg(leg)) = self.links.get_mut(&key) else { return };
+        leg.last_received = now;
+        leg.to_client.receive(now, bytes);
+        // A leg that is not bound to a client forwards nothing, so nothing counts as held back.
+        if leg.outcome != LegOutcome::Established {
+            leg.to_client.buffered_since = None;
         }
-        leg.tail.extend_from_slice(bytes);
-        let cut = leg.tail.iter().rposition(|b| *b == b'\n');
+        leg.partial_line.extend_from_slice(bytes);
+        let cut = leg.partial_line.iter().rposition(|b| *b == b'\n');
         if let Some(end) = cut {
-            let start = leg.tail[..end].iter().rposition(|b| *b == b'\n').map_or(0, |s| s + 1);
-            let last = &leg.tail[start..end];
-            leg.farewell = last.starts_with(b"BYE") || last.starts_with(b"MOVE");
-            leg.tail.drain(..end + 1);
+            let start = leg.partial_line[..end].iter().rposition(|b| *b == b'\n').map_or(0, |s| s + 1);
+            let last = &leg.partial_line[start..end];
+            leg.announced_end = last.starts_with(b"BYE") || last.starts_with(b"MOVE");
+            leg.partial_line.drain(..end + 1);
         }
         let (call, node) = (leg.call, leg.node);
-        if leg.outcome == Outcome::Out {
-            leg.answer.extend_from_slice(bytes);
-            if let Some(end) = leg.answer.iter().position(|b| *b == b'\n') {
-                let line = String::from_utf8_lossy(&leg.answer[..end]).trim_end().to_owned();
-                leg.answer = Bytes::new();
+        if leg.outcome == LegOutcome::Pending {
+            leg.answer_line.extend_from_slice(bytes);
+            if let Some(end) = leg.answer_line.iter().position(|b| *b == b'\n') {
+                let line = String::from_utf8_lossy(&leg.answer_line[..end]).trim_end().to_owned();
+                leg.answer_line = Bytes::new();
                 leg.outcome = match line.split(' ').next() {
-                    Some("UP") => Outcome::Up,
-                    Some("BUSY") => Outcome::Never,
-                    _ => Outcome::Perhaps,
+                    Some("UP") => LegOutcome::Established,
+                    Some("BUSY") => LegOutcome::NotRun,
+                    _ => LegOutcome::MayHaveRun,
                 };
                 leg.receipt = line.strip_prefix("UP ").map(|r| Bytes::from_slice(r.as_bytes()));
-                if leg.outcome == Outcome::Up {
-                    leg.down.since = Some(now);
+                if leg.outcome == LegOutcome::Established {
+                    leg.to_client.buffered_since = Some(now);
                 }
-                self.trace(now, call, || format!("node {node} answers '{}'", text(line.as_bytes())));
+                self.record_trace(now, call, || format!("node {node} answers '{}'", text(line.as_bytes())));
             }
         }
         if let Some(call) = call.and_then(|c| self.calls.get_mut(&c)) {
-            if call.standing == Some(key) {
-                call.unanswered = None;
+            if call.bound_leg == Some(key) {
+                call.unanswered_since = None;
             }
         }
     }
 
-    /// A proxy's bytes leave it.
-    pub(crate) fn said(&mut self, now: f64, key: LinkKey, proxy: usize, bytes: &[u8]) {
-        match self.seen.get(&key) {
-            Some(Seen::Client(Some(call), _)) => {
+    /// A proxy has written bytes.
+    pub(crate) fn on_bytes_sent(&mut self, now: f64, key: LinkKey, proxy: usize, bytes: &[u8]) {
+        match self.links.get(&key) {
+            Some(ObservedLink::Client(Some(call), _)) => {
                 let call = *call;
-                self.client_told(now, call, proxy, bytes);
+                self.check_client_bytes(now, call, proxy, bytes);
             }
-            Some(Seen::Client(None, _)) => {}
-            Some(Seen::Bad) if bytes.starts_with(b"UP") => {
-                self.breach(
+            Some(ObservedLink::Client(None, _)) => {}
+            Some(ObservedLink::Misbehaving) if bytes.starts_with(b"UP") => {
+                self.report_violation(
                     now,
                     Rule::OneAnswer,
                     proxy,
                     None,
-                    "a client that can't be read was served".into(),
+                    "a client that sent no valid request was served".into(),
                 );
             }
-            Some(Seen::Leg(_)) => self.leg_told(now, key, bytes),
+            Some(ObservedLink::Leg(_)) => self.check_leg_bytes(now, key, bytes),
             _ => {}
         }
     }
 
-    fn client_told(&mut self, now: f64, id: u64, proxy: usize, bytes: &[u8]) {
+    /// Checks bytes that a proxy has written to the client of a call.
+    fn check_client_bytes(&mut self, now: f64, id: u64, proxy: usize, bytes: &[u8]) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        if let Some(leg) = call.standing {
-            return self.passed(now, id, leg, proxy, bytes);
+        if let Some(leg) = call.bound_leg {
+            return self.check_forwarded(now, id, leg, proxy, bytes);
         }
         if call.answered {
-            let what = format!("after its final answer a client was told '{}'", text(bytes));
-            return self.breach(now, Rule::OneAnswer, proxy, Some(id), what);
+            let what = format!("after its final answer the client was sent '{}'", text(bytes));
+            return self.report_violation(now, Rule::OneAnswer, proxy, Some(id), what);
         }
-        call.answer.extend_from_slice(bytes);
-        let Some(end) = call.answer.iter().position(|b| *b == b'\n') else { return };
-        let all = std::mem::take(&mut call.answer);
-        let line = String::from_utf8_lossy(&all[..end]).trim_end().to_owned();
+        call.answer_line.extend_from_slice(bytes);
+        let Some(end) = call.answer_line.iter().position(|b| *b == b'\n') else { return };
+        let received = std::mem::take(&mut call.answer_line);
+        let line = String::from_utf8_lossy(&received[..end]).trim_end().to_owned();
         call.answered = true;
-        let (until, kind, legs) = (call.until, call.kind, call.legs.clone());
-        self.trace(now, Some(id), || format!("its client is told '{}'", text(line.as_bytes())));
-        if now > until + SLACK + self.observation_slack {
-            let what = format!("its final answer came {:.3} s after its guard time", now - until);
-            self.breach(now, Rule::OneAnswer, proxy, Some(id), what);
+        let (deadline, traffic_type, legs) = (call.deadline, call.traffic_type, call.legs.clone());
+        self.record_trace(now, Some(id), || format!("the client is sent '{}'", text(line.as_bytes())));
+        if now > deadline + TIME_TOLERANCE + self.observation_slack {
+            let what = format!("its final answer came {:.3} s after its guard time", now - deadline);
+            self.report_violation(now, Rule::OneAnswer, proxy, Some(id), what);
         }
         match line.split(' ').next() {
             Some("UP") => {
                 self.answer_counts[0] += 1;
                 let receipt = line.strip_prefix("UP ").unwrap_or("").as_bytes();
                 let bound = legs.iter().copied().find(|l| {
-                    matches!(self.seen.get(l), Some(Seen::Leg(leg)) if leg.receipt.as_deref() == Some(receipt))
+                    matches!(self.links.get(l), Some(ObservedLink::Leg(leg)) if leg.receipt.as_deref() == Some(receipt))
                 });
                 match bound {
                     Some(leg) => {
                         if let Some(call) = self.calls.get_mut(&id) {
-                            call.standing = Some(leg);
+                            call.bound_leg = Some(leg);
                         }
-                        self.passed(now, id, leg, proxy, &all);
+                        self.check_forwarded(now, id, leg, proxy, &received);
                     }
                     None => {
-                        let what = format!("told '{line}', which no server said for it");
-                        self.breach(now, Rule::OneAnswer, proxy, Some(id), what);
+                        let what = format!("the client was sent '{line}', which no server wrote for it");
+                        self.report_violation(now, Rule::OneAnswer, proxy, Some(id), what);
                     }
                 }
             }
             Some("BUSY") => {
                 self.answer_counts[1] += 1;
-                let harmless = match (self.kinds[kind].1, self.kinds[kind].2) {
-                    (Repeatability::Repeatable, _) | (Repeatability::Referenced, Scope::All) => true,
-                    _ => legs.iter().all(|l| self.outcome(*l) == Outcome::Never),
-                } || self.calls[&id].ran.is_none()
-                    && legs.iter().all(|l| self.outcome(*l) == Outcome::Never);
-                if !harmless {
+                let may_reject =
+                    match (self.traffic_types[traffic_type].1, self.traffic_types[traffic_type].2) {
+                        (Repeatability::Repeatable, _) | (Repeatability::Referenced, Scope::All) => true,
+                        _ => legs.iter().all(|l| self.leg_outcome(*l) == LegOutcome::NotRun),
+                    } || self.calls[&id].first_run.is_none()
+                        && legs.iter().all(|l| self.leg_outcome(*l) == LegOutcome::NotRun);
+                if !may_reject {
                     let what = "rejected, though a leg of it may have run".into();
-                    self.breach(now, Rule::NoEffectTwice, proxy, Some(id), what);
+                    self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), what);
                 }
             }
             _ => self.answer_counts[2] += 1,
         }
-        if all.len() > end + 1 && self.calls.get(&id).is_some_and(|c| c.standing.is_none()) {
-            let what = format!("after its final answer a client was told '{}'", text(&all[end + 1..]));
-            self.breach(now, Rule::OneAnswer, proxy, Some(id), what);
+        if received.len() > end + 1 && self.calls.get(&id).is_some_and(|c| c.bound_leg.is_none()) {
+            let what = format!("after its final answer the client was sent '{}'", text(&received[end + 1..]));
+            self.report_violation(now, Rule::OneAnswer, proxy, Some(id), what);
         }
     }
 
-    /// What becomes of a leg, as far as the proxy can know; one whose first line was not whole never ran.
-    fn outcome(&self, key: LinkKey) -> Outcome {
-        match self.seen.get(&key) {
-            Some(Seen::Leg(leg)) if leg.sent.is_none() => Outcome::Never,
-            Some(Seen::Leg(leg))
-                if leg.outcome == Outcome::Out && leg.far_ended.or(leg.proxy_ended).is_some() =>
+    /// Returns a leg's outcome as far as the proxy can know it. A leg whose first line is not complete did
+    /// not run.
+    fn leg_outcome(&self, key: LinkKey) -> LegOutcome {
+        match self.links.get(&key) {
+            Some(ObservedLink::Leg(leg)) if leg.sent_at.is_none() => LegOutcome::NotRun,
+            Some(ObservedLink::Leg(leg))
+                if leg.outcome == LegOutcome::Pending
+                    && leg.server_ended_at.or(leg.proxy_ended_at).is_some() =>
             {
-                Outcome::Perhaps
+                LegOutcome::MayHaveRun
             }
-            Some(Seen::Leg(leg)) => leg.outcome,
-            _ => Outcome::Never,
+            Some(ObservedLink::Leg(leg)) => leg.outcome,
+            _ => LegOutcome::NotRun,
         }
     }
 
-    /// Bytes to a standing client: what its node said, and at the end perhaps the proxy's `MOVE`.
-    fn passed(&mut self, now: f64, id: u64, leg: LinkKey, proxy: usize, bytes: &[u8]) {
-        let Some(Seen::Leg(bound)) = self.seen.get_mut(&leg) else {
-            return self.own_word(now, id, proxy, bytes);
+    /// Checks bytes to an established client: first those forwarded from its node, then possibly the proxy's
+    /// own `MOVE`.
+    fn check_forwarded(&mut self, now: f64, id: u64, leg: LinkKey, proxy: usize, bytes: &[u8]) {
+        let Some(ObservedLink::Leg(bound)) = self.links.get_mut(&leg) else {
+            return self.check_proxy_line(now, id, proxy, bytes);
         };
-        let mut passed = if call_is_told(&self.calls, id) { 0 } else { bound.down.alike(bytes) };
-        if passed < bytes.len() {
-            // The proxy's own word stands behind a whole line, and may begin as the server's next does.
-            let starts = |at: usize| at == 0 && !bound.down.within || at > 0 && bytes[at - 1] == b'\n';
-            passed = (0..=passed).rev().find(|at| starts(*at)).unwrap_or(passed);
+        let mut forwarded =
+            if proxy_line_started(&self.calls, id) { 0 } else { bound.to_client.matching_prefix(bytes) };
+        if forwarded < bytes.len() {
+            // The proxy's own line starts after a complete line, and may have the same first bytes as the
+            // server's next line.
+            let starts = |at: usize| at == 0 && !bound.to_client.mid_line || at > 0 && bytes[at - 1] == b'\n';
+            forwarded = (0..=forwarded).rev().find(|at| starts(*at)).unwrap_or(forwarded);
         }
-        bound.down.goes(now, &bytes[..passed]);
-        if passed < bytes.len() {
-            self.own_word(now, id, proxy, &bytes[passed..]);
+        bound.to_client.forward(now, &bytes[..forwarded]);
+        if forwarded < bytes.len() {
+            self.check_proxy_line(now, id, proxy, &bytes[forwarded..]);
         }
     }
 
-    fn own_word(&mut self, now: f64, id: u64, proxy: usize, bytes: &[u8]) {
+    /// Checks bytes that the proxy itself wrote to an established client; only `MOVE` is allowed.
+    fn check_proxy_line(&mut self, now: f64, id: u64, proxy: usize, bytes: &[u8]) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        call.own.extend_from_slice(bytes);
-        let own = call.own.clone();
-        if !b"MOVE\r\n".starts_with(&own[..]) {
-            let what = format!("a standing client was told '{}', which its server did not say", text(&own));
-            self.breach(now, Rule::Lines, proxy, Some(id), what);
-        } else if own.len() == 6 {
-            self.trace(now, Some(id), || "its client is told 'MOVE'".into());
+        call.proxy_line.extend_from_slice(bytes);
+        let proxy_line = call.proxy_line.clone();
+        if !b"MOVE\r\n".starts_with(&proxy_line[..]) {
+            let what = format!(
+                "an established client was sent '{}', which its server did not write",
+                text(&proxy_line)
+            );
+            self.report_violation(now, Rule::Lines, proxy, Some(id), what);
+        } else if proxy_line.len() == 6 {
+            self.record_trace(now, Some(id), || "the client is sent 'MOVE'".into());
         }
     }
 
-    fn leg_told(&mut self, now: f64, key: LinkKey, bytes: &[u8]) {
-        let Some(Seen::Leg(leg)) = self.seen.get_mut(&key) else { return };
+    /// Checks bytes that a proxy has written to a node.
+    fn check_leg_bytes(&mut self, now: f64, key: LinkKey, bytes: &[u8]) {
+        let Some(ObservedLink::Leg(leg)) = self.links.get_mut(&key) else { return };
         let (proxy, call) = (leg.proxy, leg.call);
-        if leg.sent.is_some() {
-            let alike = leg.up.alike(bytes);
-            leg.up.goes(now, &bytes[..alike]);
-            if alike < bytes.len() {
-                let what = "a server was told other bytes than its client said".into();
-                self.breach(now, Rule::Lines, proxy, call, what);
+        if leg.sent_at.is_some() {
+            let matched = leg.to_server.matching_prefix(bytes);
+            leg.to_server.forward(now, &bytes[..matched]);
+            if matched < bytes.len() {
+                let what = "a server was sent other bytes than its client wrote".into();
+                self.report_violation(now, Rule::Lines, proxy, call, what);
             }
             return;
         }
-        leg.first.get_or_insert(now);
-        leg.head.extend_from_slice(bytes);
-        let Some(end) = leg.head.iter().position(|b| *b == b'\n') else { return };
-        let head = String::from_utf8_lossy(&leg.head[..end]).trim_end().to_owned();
-        let rest = Bytes::from_slice(&leg.head[end + 1..]);
-        leg.head = Bytes::new();
-        leg.sent = Some(now);
-        self.leg_sent(now, key, &head);
+        leg.first_byte_at.get_or_insert(now);
+        leg.open_line.extend_from_slice(bytes);
+        let Some(end) = leg.open_line.iter().position(|b| *b == b'\n') else { return };
+        let open_line = String::from_utf8_lossy(&leg.open_line[..end]).trim_end().to_owned();
+        let rest = Bytes::from_slice(&leg.open_line[end + 1..]);
+        leg.open_line = Bytes::new();
+        leg.sent_at = Some(now);
+        self.check_leg_sent(now, key, &open_line);
         if !rest.is_empty() {
-            self.leg_told(now, key, &rest);
+            self.check_leg_bytes(now, key, &rest);
         }
     }
 
-    /// A leg counts: its first line has left to the last byte.
-    fn leg_sent(&mut self, now: f64, key: LinkKey, head: &str) {
-        let Some(Seen::Leg(leg)) = self.seen.get_mut(&key) else { return };
-        let (proxy, node, first) = (leg.proxy, leg.node, leg.first.unwrap_or(now));
-        let id = head.split(' ').nth(1).and_then(|id| u64::from_str_radix(id, 16).ok());
+    /// Checks a leg against the rules, once its first line has been written completely.
+    fn check_leg_sent(&mut self, now: f64, key: LinkKey, open_line: &str) {
+        let Some(ObservedLink::Leg(leg)) = self.links.get_mut(&key) else { return };
+        let (proxy, node, first_byte_at) = (leg.proxy, leg.node, leg.first_byte_at.unwrap_or(now));
+        let id = open_line.split(' ').nth(1).and_then(|id| u64::from_str_radix(id, 16).ok());
         leg.call = id;
         let Some((id, call)) = id.and_then(|id| Some((id, self.calls.get_mut(&id)?))) else {
-            let lately = id.is_some_and(|id| self.past.iter().any(|(_, p)| *p == id));
-            if !lately {
+            let ended_recently = id.is_some_and(|id| self.recent_calls.iter().any(|(_, p)| *p == id));
+            if !ended_recently {
                 let what = format!(
-                    "a leg to node {node} for a call that is over or never came: '{}'",
-                    text(head.as_bytes())
+                    "a leg to node {node} for a call that has ended or never arrived: '{}'",
+                    text(open_line.as_bytes())
                 );
-                self.breach(now, Rule::OneAnswer, proxy, None, what);
+                self.report_violation(now, Rule::OneAnswer, proxy, None, what);
             }
             return;
         };
-        let (earlier, kind, ran) = (call.legs.clone(), call.kind, call.ran);
+        let (earlier, traffic_type, first_run) = (call.legs.clone(), call.traffic_type, call.first_run);
         call.legs.push(key);
-        call.sent += 1;
-        let (sent, answered, put_back) = (call.sent, call.answered, call.put_back);
-        self.trace(now, Some(id), || format!("leg {sent} goes to node {node}"));
+        call.legs_sent += 1;
+        let (sent, answered, restored) = (call.legs_sent, call.answered, call.restored);
+        self.record_trace(now, Some(id), || format!("leg {sent} goes to node {node}"));
         if answered {
-            return self.breach(now, Rule::OneAnswer, proxy, Some(id), "a leg after the final answer".into());
+            return self.report_violation(
+                now,
+                Rule::OneAnswer,
+                proxy,
+                Some(id),
+                "a leg after the final answer".into(),
+            );
         }
-        if put_back {
+        if restored {
             return;
         }
-        self.cold_node_sent(now, proxy, node);
-        if sent > self.most_legs {
-            let what = format!("leg {sent}, where {} are allowed", self.most_legs);
-            self.breach(now, Rule::NoEffectTwice, proxy, Some(id), what);
+        self.count_cold_call(now, proxy, node);
+        if sent > self.max_legs {
+            let what = format!("leg {sent}, where {} are allowed", self.max_legs);
+            self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), what);
         }
-        let outcomes: Vec<Outcome> = earlier.iter().map(|l| self.outcome(*l)).collect();
+        let outcomes: Vec<LegOutcome> = earlier.iter().map(|l| self.leg_outcome(*l)).collect();
         if !self.second_copies {
             for (leg, outcome) in earlier.iter().zip(&outcomes) {
-                if *outcome == Outcome::Out {
+                if *outcome == LegOutcome::Pending {
                     self.overlaps.push((*leg, id, now));
                 }
             }
-            self.settle_overlaps(now);
+            self.resolve_overlaps(now);
         }
-        let (_, effect, scope, window) = &self.kinds[kind];
-        let may_have_run = ran.is_some() || outcomes.iter().any(|o| *o != Outcome::Never);
-        match effect {
+        let (_, repeatability, scope, window) = &self.traffic_types[traffic_type];
+        let may_have_run = first_run.is_some() || outcomes.iter().any(|o| *o != LegOutcome::NotRun);
+        match repeatability {
             Repeatability::Repeatable => {}
             Repeatability::OnceOnly if may_have_run => {
                 let what = "a further leg of a once-only call, though an earlier one may have run".into();
-                self.breach(now, Rule::NoEffectTwice, proxy, Some(id), what);
+                self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), what);
             }
             Repeatability::OnceOnly => {}
             Repeatability::Referenced => {
                 let (scope, window) = (*scope, *window);
-                if let Some((at, other)) = ran {
-                    let (one, two) = (self.places[other], self.places[node]);
+                if let Some((at, other)) = first_run {
+                    let (earlier_location, this_location) =
+                        (self.node_locations[other], self.node_locations[node]);
                     let in_group = match scope {
                         Scope::All => true,
-                        Scope::Zone => one.0 == two.0,
-                        Scope::Cell => one == two,
+                        Scope::Zone => earlier_location.0 == this_location.0,
+                        Scope::Cell => earlier_location == this_location,
                     };
-                    if !in_group || now - at > window + SLACK + self.observation_slack {
+                    if !in_group || now - at > window + TIME_TOLERANCE + self.observation_slack {
                         let what =
                             "a referenced call that may have run was sent outside its group or window".into();
-                        self.breach(now, Rule::NoEffectTwice, proxy, Some(id), what);
+                        self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), what);
                     }
                 }
             }
         }
-        let told = &self.told[proxy][node];
-        let away = [told.away, told.away_by].into_iter().flatten().reduce(f64::min);
-        if away.is_some_and(|at| first > at + self.grace + SLACK + self.observation_slack) {
-            let late = first - away.unwrap_or(first);
+        let notice = &self.notices[proxy][node];
+        let unusable_at =
+            [notice.unusable_at, notice.unusable_deadline].into_iter().flatten().reduce(f64::min);
+        if unusable_at
+            .is_some_and(|at| first_byte_at > at + self.drain_grace + TIME_TOLERANCE + self.observation_slack)
+        {
+            let late = first_byte_at - unusable_at.unwrap_or(first_byte_at);
             let what = format!(
-                "a leg to node {node}, {late:.3} s after the proxy was told that it drains or is gone"
+                "a leg to node {node}, {late:.3} s after the proxy was told that it is draining or gone"
             );
-            self.breach(now, Rule::Drains, proxy, Some(id), what);
+            self.report_violation(now, Rule::Drains, proxy, Some(id), what);
         }
         if let Some(call) = self.calls.get_mut(&id) {
-            // Until it is known otherwise, this one may run.
-            call.ran = call.ran.or(Some((now, node)));
+            // The leg may run until its outcome shows otherwise.
+            call.first_run = call.first_run.or(Some((now, node)));
         }
     }
 
-    /// Counts what proxies that have been told of a node's start send it while it is cold.
-    fn cold_node_sent(&mut self, now: f64, proxy: usize, node: usize) {
-        let Some((started, told)) = self.told[proxy][node].start else { return };
-        if told > now || !started.is_finite() {
+    /// Counts calls sent to a cold node by proxies that have been told of its start.
+    fn count_cold_call(&mut self, now: f64, proxy: usize, node: usize) {
+        let Some((started, notice)) = self.notices[proxy][node].start else { return };
+        if notice > now || !started.is_finite() {
             return;
         }
-        let found = self.cold[node].sent(now, started, self.cores[node], &self.cold_start);
-        if let Some((sent, most)) = found {
+        let found = self.cold_nodes[node].record_call(now, started, self.cores[node], &self.cold_start);
+        if let Some((sent, limit)) = found {
             let what = format!(
-                "cold node {node} was sent {sent} requests in a window, {:.3} s after its start, of {most:.1} allowed",
+                "cold node {node} was sent {sent} requests in a window, {:.3} s after its start, with {limit:.1} allowed",
                 now - started
             );
-            self.breach(now, Rule::ColdNodes, proxy, None, what);
+            self.report_violation(now, Rule::ColdNodes, proxy, None, what);
         }
     }
 
-    fn settle_overlaps(&mut self, now: f64) {
+    /// Reports legs that have overlapped for longer than `observation_slack`.
+    fn resolve_overlaps(&mut self, now: f64) {
         let slack = self.observation_slack;
-        let mut broken = Vec::new();
-        let seen = &self.seen;
+        let mut violations_found = Vec::new();
+        let links = &self.links;
         self.overlaps.retain(|(leg, id, at)| {
-            let out = matches!(seen.get(leg), Some(Seen::Leg(l)) if l.outcome == Outcome::Out
-                && l.proxy_ended.is_none() && l.far_ended.is_none());
-            if out && now - at >= slack {
-                broken.push(*id);
+            let pending = matches!(links.get(leg), Some(ObservedLink::Leg(l)) if l.outcome == LegOutcome::Pending
+                && l.proxy_ended_at.is_none() && l.server_ended_at.is_none());
+            if pending && now - at >= slack {
+                violations_found.push(*id);
             }
-            out && now - at < slack
+            pending && now - at < slack
         });
-        for id in broken {
+        for id in violations_found {
             let proxy = self.calls.get(&id).map_or(0, |c| c.proxy);
-            self.breach(now, Rule::NoEffectTwice, proxy, Some(id), "two legs of it were out at once".into());
+            self.report_violation(
+                now,
+                Rule::NoEffectTwice,
+                proxy,
+                Some(id),
+                "two legs of the call were pending at once".into(),
+            );
         }
     }
 
-    /// The far side of a link has ended, as the proxy sees it.
-    pub(crate) fn far_ended(&mut self, now: f64, key: LinkKey, how: EndKind) {
-        match self.seen.get_mut(&key) {
-            Some(Seen::Client(call, _)) => {
+    /// The remote side of a link has ended, as observed by the proxy.
+    pub(crate) fn on_peer_end(&mut self, now: f64, key: LinkKey, end_kind: EndKind) {
+        match self.links.get_mut(&key) {
+            Some(ObservedLink::Client(call, _)) => {
                 let call = *call;
-                self.trace(now, call, || format!("its client ends ({how:?})"));
+                self.record_trace(now, call, || format!("the client ends its connection ({end_kind:?})"));
                 if let Some(id) = call {
-                    if let Some(one) = self.calls.get(&id) {
-                        let (answered, until, proxy) = (one.answered, one.until, one.proxy);
-                        if !answered && now > until + SLACK + self.observation_slack {
-                            self.breach(
+                    if let Some(open_call) = self.calls.get(&id) {
+                        let (answered, deadline, proxy) =
+                            (open_call.answered, open_call.deadline, open_call.proxy);
+                        if !answered && now > deadline + TIME_TOLERANCE + self.observation_slack {
+                            self.report_violation(
                                 now,
                                 Rule::OneAnswer,
                                 proxy,
@@ -699,295 +780,341 @@
                             );
                         }
                     }
-                    self.over(now, id);
+                    self.finish_call(now, id);
                 }
-                self.seen.remove(&key);
+                self.links.remove(&key);
             }
-            Some(Seen::Leg(leg)) => {
+            Some(ObservedLink::Leg(leg)) => {
                 let (call, node) = (leg.call, leg.node);
-                leg.far_ended = leg.far_ended.or(Some(now));
-                if leg.outcome == Outcome::Never {
-                    // What the proxy was told in between: it never ran.
-                    self.never_ran(key);
+                leg.server_ended_at = leg.server_ended_at.or(Some(now));
+                if leg.outcome == LegOutcome::NotRun {
+                    // The node refused the leg, so the call has not run there.
+                    self.mark_not_run(key);
                 }
-                if let Some(one) = call.and_then(|c| self.calls.get_mut(&c)) {
-                    if one.standing == Some(key) {
-                        one.server_ended = one.server_ended.or(Some(now));
+                if let Some(open_call) = call.and_then(|c| self.calls.get_mut(&c)) {
+                    if open_call.bound_leg == Some(key) {
+                        open_call.server_ended_at = open_call.server_ended_at.or(Some(now));
                     }
                 }
-                self.trace(now, call, || format!("node {node} ends its leg ({how:?})"));
-                self.forget_leg(key);
+                self.record_trace(now, call, || format!("node {node} ends its leg ({end_kind:?})"));
+                self.remove_finished_leg(key);
             }
-            Some(Seen::Watch(_) | Seen::Bad | Seen::Front) => {
-                self.seen.remove(&key);
+            Some(ObservedLink::Watch(_) | ObservedLink::Misbehaving | ObservedLink::Front) => {
+                self.links.remove(&key);
             }
             None => {}
         }
     }
 
-    /// A leg that was turned away counts as one that never ran.
-    fn never_ran(&mut self, key: LinkKey) {
-        let Some(Seen::Leg(leg)) = self.seen.get(&key) else { return };
-        let (sent, call) = (leg.sent, leg.call);
+    /// Records that a leg did not run.
+    fn mark_not_run(&mut self, key: LinkKey) {
+        let Some(ObservedLink::Leg(leg)) = self.links.get(&key) else { return };
+        let (sent, call) = (leg.sent_at, leg.call);
         if let Some(call) = call.and_then(|c| self.calls.get_mut(&c)) {
-            if call.ran.is_some_and(|(at, _)| Some(at) == sent) {
-                call.ran = None;
+            if call.first_run.is_some_and(|(at, _)| Some(at) == sent) {
+                call.first_run = None;
             }
         }
     }
 
     /// The proxy has ended its side of a link.
-    pub(crate) fn proxy_ended(&mut self, now: f64, key: LinkKey, how: EndKind) {
-        match self.seen.get_mut(&key) {
-            Some(Seen::Client(Some(id), _)) => {
+    pub(crate) fn on_proxy_end(&mut self, now: f64, key: LinkKey, end_kind: EndKind) {
+        match self.links.get_mut(&key) {
+            Some(ObservedLink::Client(Some(id), _)) => {
                 let id = *id;
-                self.trace(now, Some(id), || format!("the proxy ends its client's link ({how:?})"));
-                self.client_cut(now, id);
-                if how != EndKind::Finished {
-                    self.seen.remove(&key);
+                self.record_trace(now, Some(id), || {
+                    format!("the proxy ends the client's connection ({end_kind:?})")
+                });
+                self.check_client_end(now, id);
+                if end_kind != EndKind::Finished {
+                    self.links.remove(&key);
                 }
             }
-            Some(Seen::Leg(leg)) => {
+            Some(ObservedLink::Leg(leg)) => {
                 let (call, node) = (leg.call, leg.node);
-                leg.proxy_ended = leg.proxy_ended.or(Some(now));
-                if leg.outcome == Outcome::Never {
-                    self.never_ran(key);
+                leg.proxy_ended_at = leg.proxy_ended_at.or(Some(now));
+                if leg.outcome == LegOutcome::NotRun {
+                    self.mark_not_run(key);
                 }
-                self.trace(now, call, || format!("the proxy ends its leg to node {node} ({how:?})"));
-                if how != EndKind::Finished {
-                    self.forget_leg(key);
+                self.record_trace(now, call, || {
+                    format!("the proxy ends its leg to node {node} ({end_kind:?})")
+                });
+                if end_kind != EndKind::Finished {
+                    self.remove_finished_leg(key);
                 }
             }
-            Some(Seen::Client(None, _) | Seen::Watch(_) | Seen::Bad | Seen::Front)
-                if how != EndKind::Finished =>
-            {
-                self.seen.remove(&key);
+            Some(
+                ObservedLink::Client(None, _)
+                | ObservedLink::Watch(_)
+                | ObservedLink::Misbehaving
+                | ObservedLink::Front,
+            ) if end_kind != EndKind::Finished => {
+                self.links.remove(&key);
             }
             _ => {}
         }
     }
 
-    /// A leg's place is given back once nothing hangs on it.
-    fn forget_leg(&mut self, key: LinkKey) {
-        if let Some(Seen::Leg(leg)) = self.seen.get(&key) {
+    /// Removes a leg's record once its call is no longer open.
+    fn remove_finished_leg(&mut self, key: LinkKey) {
+        if let Some(ObservedLink::Leg(leg)) = self.links.get(&key) {
             let open = leg.call.is_some_and(|c| self.calls.contains_key(&c));
             if !open {
-                self.seen.remove(&key);
+                self.links.remove(&key);
             }
         }
     }
 
-    /// A client's link is ended by its proxy: with what right?
-    fn client_cut(&mut self, now: f64, id: u64) {
+    /// Checks whether a proxy was allowed to end a client's link.
+    fn check_client_end(&mut self, now: f64, id: u64) {
         let Some(call) = self.calls.get(&id) else { return };
         let proxy = call.proxy;
-        if self.killed[proxy] == Killed::Outright {
-            // The kernel ends what a killed process held; that is its client's to repeat.
+        if self.kill_states[proxy] == KillState::Immediate {
+            // The kernel closes the connections of a killed process; its clients repeat their calls.
         } else if !call.answered {
-            self.breach(now, Rule::OneAnswer, proxy, Some(id), "its link was ended without an answer".into());
-        } else if let Some(leg) = call.standing {
-            let moved = call.own.len() == 6;
-            // One that has vanished was heard lately too, and answers no more; within a line there is no place for MOVE.
-            let waits = call.unanswered.is_some_and(|at| now - at > NO_ANSWER);
-            let answers = match self.seen.get(&leg) {
-                Some(Seen::Leg(leg)) => {
-                    let stuck = !leg.tail.is_empty() && now - leg.heard > STUCK;
-                    leg.far_ended.is_none() && !leg.farewell && now - leg.heard < ANSWERS && !waits && !stuck
+            self.report_violation(
+                now,
+                Rule::OneAnswer,
+                proxy,
+                Some(id),
+                "its connection was ended without an answer".into(),
+            );
+        } else if let Some(leg) = call.bound_leg {
+            let moved = call.proxy_line.len() == 6;
+            // A server that has vanished may have written within the response window too, so unanswered and
+            // incomplete lines count as well. No `MOVE` can be written within a line.
+            let line_unanswered = call.unanswered_since.is_some_and(|at| now - at > UNANSWERED_LIMIT);
+            let responding = match self.links.get(&leg) {
+                Some(ObservedLink::Leg(leg)) => {
+                    let stopped_in_line =
+                        !leg.partial_line.is_empty() && now - leg.last_received > PARTIAL_LINE_LIMIT;
+                    leg.server_ended_at.is_none()
+                        && !leg.announced_end
+                        && now - leg.last_received < RESPONSE_WINDOW
+                        && !line_unanswered
+                        && !stopped_in_line
                 }
                 _ => false,
             };
-            if !moved && answers {
-                let what = "a standing connection was cut off without MOVE while its server answers".into();
-                self.breach(now, Rule::NoCut, proxy, Some(id), what);
+            if !moved && responding {
+                let what =
+                    "an established connection was closed without MOVE while its server responds".into();
+                self.report_violation(now, Rule::NoCut, proxy, Some(id), what);
             }
         }
-        self.over(now, id);
+        self.finish_call(now, id);
     }
 
-    /// A call is over: nothing more is owed for it.
-    fn over(&mut self, now: f64, id: u64) {
+    /// Removes a call that has ended.
+    fn finish_call(&mut self, now: f64, id: u64) {
         let Some(call) = self.calls.remove(&id) else { return };
-        self.past.push_back((now, id));
+        self.recent_calls.push_back((now, id));
         for leg in call.legs {
-            let gone =
-                matches!(self.seen.get(&leg), Some(Seen::Leg(l)) if l.far_ended.or(l.proxy_ended).is_some());
+            let gone = matches!(self.links.get(&leg), Some(ObservedLink::Leg(l)) if l.server_ended_at.or(l.proxy_ended_at).is_some());
             if gone {
-                self.seen.remove(&leg);
+                self.links.remove(&leg);
             }
         }
     }
 
-    fn watch_said(&mut self, now: f64, key: LinkKey, proxy: usize, bytes: &[u8]) {
-        let Some(Seen::Watch(watch)) = self.seen.get_mut(&key) else { return };
+    /// Reads the node lists that discovery sends to a proxy.
+    fn on_watch_bytes(&mut self, now: f64, key: LinkKey, proxy: usize, bytes: &[u8]) {
+        let Some(ObservedLink::Watch(watch)) = self.links.get_mut(&key) else { return };
         watch.line.extend_from_slice(bytes);
         let mut lists: Vec<Value> = Vec::new();
         while let Some(end) = watch.line.iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = watch.line.drain(..=end).collect();
-            // Chunk sizes, heads and empty lines are no lists.
+            // Chunk sizes, HTTP headers and empty lines are skipped.
             if line.first() == Some(&b'{') {
                 lists.extend(serde_json::from_slice::<Value>(&line));
             }
         }
         for list in lists {
             let whole = list["whole"] == Value::Bool(true);
-            let mut named = vec![false; self.places.len()];
+            let mut named = vec![false; self.node_locations.len()];
             for host in list["hosts"].as_array().into_iter().flatten() {
-                let Some(&node) = host["host"].as_str().and_then(|name| self.names.get(name)) else {
+                let Some(&node) = host["host"].as_str().and_then(|name| self.node_names.get(name)) else {
                     continue;
                 };
                 named[node] = true;
                 let ready = host["health"] == "ready";
                 let born = host["born_ms"].as_f64().filter(|b| *b > 0.0);
-                let told = &mut self.told[proxy][node];
+                let notice = &mut self.notices[proxy][node];
                 if ready {
-                    (told.away, told.away_by) = (None, None);
+                    (notice.unusable_at, notice.unusable_deadline) = (None, None);
                     if born.is_some() {
-                        let start = told.start.map_or(f64::NEG_INFINITY, |s| s.0);
-                        told.start = Some((start, now));
+                        let start = notice.start.map_or(f64::NEG_INFINITY, |s| s.0);
+                        notice.start = Some((start, now));
                     }
                 } else {
-                    told.away = told.away.or(Some(now));
+                    notice.unusable_at = notice.unusable_at.or(Some(now));
                 }
             }
             for (node, _) in named.iter().enumerate().filter(|(_, n)| whole && !**n) {
-                let told = &mut self.told[proxy][node];
-                told.away = told.away.or(Some(now));
+                let notice = &mut self.notices[proxy][node];
+                notice.unusable_at = notice.unusable_at.or(Some(now));
             }
         }
     }
 
-    /// The agent on the proxy's machine has it: it counts as told by then, whether it is written or not.
-    pub(crate) fn agent_has(&mut self, now: f64, proxy: usize, node: usize, ready: bool, started: f64) {
-        let told = &mut self.told[proxy][node];
+    /// The discovery agent of a proxy has learned of a node's state: the proxy counts as told a fixed time
+    /// later, whether the agent writes the update or not.
+    pub(crate) fn on_agent_update(&mut self, now: f64, proxy: usize, node: usize, ready: bool, started: f64) {
+        let notice = &mut self.notices[proxy][node];
         if ready {
-            (told.away, told.away_by) = (None, None);
-            told.start = Some((started, now + DEEMED_TOLD));
+            (notice.unusable_at, notice.unusable_deadline) = (None, None);
+            notice.start = Some((started, now + NOTICE_DEADLINE));
         } else {
-            told.away_by = told.away_by.or(Some(now + DEEMED_TOLD));
+            notice.unusable_deadline = notice.unusable_deadline.or(Some(now + NOTICE_DEADLINE));
         }
     }
 
-    pub(crate) fn proxy_up(&mut self, now: f64, proxy: usize) {
-        self.killed[proxy] = Killed::No;
-        for told in &mut self.told[proxy] {
-            // A new process is told anew; what its agent holds counts as told to it a while later.
-            if told.away.take().is_some() || told.away_by.is_some() {
-                told.away_by = Some(now + DEEMED_TOLD);
+    /// A proxy's process has started to listen.
+    pub(crate) fn on_proxy_start(&mut self, now: f64, proxy: usize) {
+        self.kill_states[proxy] = KillState::NotKilled;
+        for notice in &mut self.notices[proxy] {
+            // A new process receives the list again; it counts as told of what its agent holds a fixed time
+            // later.
+            if notice.unusable_at.take().is_some() || notice.unusable_deadline.is_some() {
+                notice.unusable_deadline = Some(now + NOTICE_DEADLINE);
             }
         }
     }
 
-    /// A proxy's processes are killed, after they were told to stop or outright.
-    pub(crate) fn killed(&mut self, proxy: usize, after_stop: bool) {
-        self.killed[proxy] = if after_stop { Killed::AfterStop } else { Killed::Outright };
+    /// A proxy's processes are killed, after a stop or without one.
+    pub(crate) fn on_kill(&mut self, proxy: usize, after_stop: bool) {
+        self.kill_states[proxy] = if after_stop { KillState::AfterStop } else { KillState::Immediate };
     }
 
-    /// A proxy's processes have ended. Killed outright, they owe nothing; by themselves, or killed after the time that a stop
-    /// leaves, they must have answered all and sent all away.
-    pub(crate) fn proxy_down(&mut self, now: f64, proxy: usize) {
-        let killed = self.killed[proxy];
-        let word = if killed == Killed::AfterStop { "is killed" } else { "ends" };
-        let held: Vec<u64> = self.calls.iter().filter(|(_, c)| c.proxy == proxy).map(|(id, _)| *id).collect();
-        for id in held {
-            if killed == Killed::Outright {
-                self.over(now, id);
+    /// All of a proxy's processes have ended. Killed without a preceding stop, they owe nothing. If they
+    /// exited by themselves, or were killed after the time allowed for a stop, all calls must have been
+    /// answered and all clients sent away.
+    pub(crate) fn on_proxy_exit(&mut self, now: f64, proxy: usize) {
+        let kill_state = self.kill_states[proxy];
+        let cause = if kill_state == KillState::AfterStop { "is killed" } else { "exits" };
+        let open_ids: Vec<u64> =
+            self.calls.iter().filter(|(_, c)| c.proxy == proxy).map(|(id, _)| *id).collect();
+        for id in open_ids {
+            if kill_state == KillState::Immediate {
+                self.finish_call(now, id);
             } else {
-                self.trace(now, Some(id), || format!("the proxy's process {word}"));
-                self.client_cut(now, id);
+                self.record_trace(now, Some(id), || format!("the proxy's process {cause}"));
+                self.check_client_end(now, id);
             }
         }
         let links: Vec<LinkKey> = self
-            .seen
+            .links
             .iter()
-            .filter(|(_, s)| matches!(s, Seen::Leg(l) if l.proxy == proxy))
+            .filter(|(_, s)| matches!(s, ObservedLink::Leg(l) if l.proxy == proxy))
             .map(|(k, _)| *k)
             .collect();
         for key in links {
-            self.seen.remove(&key);
-        }
-    }
-
-    /// A cold node has fallen over: whose doing was it?
-    pub(crate) fn fell(&mut self, now: f64, node: usize, started: f64, brought: &[(f64, usize, f64)]) {
-        let mut all = 0.0;
-        let mut informed = 0.0;
-        let mut most = (0.0, 0);
-        for (at, proxy, load) in brought {
-            all += load;
-            let told = self.told[*proxy][node].start;
-            if told.is_some_and(|(start, by)| start >= started - 1e-6 && by <= *at) {
-                informed += load;
-                if *load > most.0 {
-                    most = (*load, *proxy);
+            self.links.remove(&key);
+        }
+    }
+
+    /// A cold node has crashed from overload. If two thirds of its load came from proxies that knew of its start,
+    /// this reports the one of them that sent the largest connection.
+    pub(crate) fn on_node_crash(
+        &mut self,
+        now: f64,
+        node: usize,
+        started: f64,
+        arrivals: &[(f64, usize, f64)],
+    ) {
+        let mut total_load = 0.0;
+        let mut informed_load = 0.0;
+        let mut largest = (0.0, 0);
+        for (at, proxy, load) in arrivals {
+            total_load += load;
+            let notice = self.notices[*proxy][node].start;
+            if notice.is_some_and(|(start, by)| start >= started - 1e-6 && by <= *at) {
+                informed_load += load;
+                if *load > largest.0 {
+                    largest = (*load, *proxy);
                 }
             }
         }
-        if all > 0.0 && informed >= all * 2.0 / 3.0 {
+        if total_load > 0.0 && informed_load >= total_load * 2.0 / 3.0 {
             let what = format!(
-                "cold node {node} was pushed over: {} connections in the rule's time, {:.0} in a hundred of their load by \
+                "cold node {node} was overloaded: {} connections within the rule's window, {:.0} % of their load from \
                  proxies that knew of its start",
-                brought.len(),
-                informed / all * 100.0
+                arrivals.len(),
+                informed_load / total_load * 100.0
             );
-            self.breach(now, Rule::ColdNodes, most.1, None, what);
+            self.report_violation(now, Rule::ColdNodes, largest.1, None, what);
         }
     }
 
-    /// A regular look at what only time breaks.
-    pub(crate) fn look(&mut self, now: f64) {
-        self.settle_overlaps(now);
-        while self.past.front().is_some_and(|(at, _)| now - at > self.observation_slack) {
-            self.past.pop_front();
+    /// Checks the time limits at regular intervals.
+    pub(crate) fn check_deadlines(&mut self, now: f64) {
+        self.resolve_overlaps(now);
+        while self.recent_calls.front().is_some_and(|(at, _)| now - at > self.observation_slack) {
+            self.recent_calls.pop_front();
         }
-        if now < self.next_second {
+        if now < self.next_check {
             return;
         }
-        self.next_second = now + 0.5;
-        let mut broken: Vec<(u64, Rule, &str)> = Vec::new();
+        self.next_check = now + 0.5;
+        let mut violations_found: Vec<(u64, Rule, &str)> = Vec::new();
         for (id, call) in &mut self.calls {
-            if !call.answered && now > call.until + SLACK + self.observation_slack + 0.1 {
-                broken.push((*id, Rule::OneAnswer, "no answer by its guard time"));
-                // Said once.
+            if !call.answered && now > call.deadline + TIME_TOLERANCE + self.observation_slack + 0.1 {
+                violations_found.push((*id, Rule::OneAnswer, "no answer by its guard time"));
+                // Reported once only.
                 call.answered = true;
             }
-            let Some(leg) = call.standing else { continue };
-            let moved = call.own.len() == 6;
-            if call.server_ended.is_some_and(|at| now - at > SERVER_ENDED + SLACK + self.observation_slack)
+            let Some(leg) = call.bound_leg else { continue };
+            let moved = call.proxy_line.len() == 6;
+            if call
+                .server_ended_at
+                .is_some_and(|at| now - at > SERVER_END_DEADLINE + TIME_TOLERANCE + self.observation_slack)
                 && !moved
             {
-                broken.push((*id, Rule::NoCut, "its server has ended, and it was neither ended nor moved"));
-                call.server_ended = None;
+                violations_found.push((
+                    *id,
+                    Rule::NoCut,
+                    "its server has ended the connection, and the client was neither ended nor moved",
+                ));
+                call.server_ended_at = None;
             }
-            if call.unanswered.is_some_and(|at| now - at > SILENT + SLACK + self.observation_slack) && !moved
+            if call
+                .unanswered_since
+                .is_some_and(|at| now - at > SILENCE_DEADLINE + TIME_TOLERANCE + self.observation_slack)
+                && !moved
             {
-                broken.push((
+                violations_found.push((
                     *id,
                     Rule::NoCut,
-                    "nothing has come back for seven seconds, and it was not moved",
+                    "the server has been silent for seven seconds, and the client was not moved",
                 ));
-                call.unanswered = None;
-            }
-            if let Some(Seen::Leg(leg)) = self.seen.get_mut(&leg) {
-                let late = |since: Option<f64>| since.is_some_and(|at| now - at > HELD + SLACK);
-                let open = leg.far_ended.is_none() && leg.proxy_ended.is_none();
-                if open && !moved && (late(leg.down.since) || late(leg.up.since)) {
-                    broken.push((*id, Rule::Lines, "a line was held back for over a second"));
-                    (leg.down.since, leg.up.since) = (None, None);
+                call.unanswered_since = None;
+            }
+            if let Some(ObservedLink::Leg(leg)) = self.links.get_mut(&leg) {
+                let late = |buffered_since: Option<f64>| {
+                    buffered_since.is_some_and(|at| now - at > MAX_LINE_DELAY + TIME_TOLERANCE)
+                };
+                let open = leg.server_ended_at.is_none() && leg.proxy_ended_at.is_none();
+                if open
+                    && !moved
+                    && (late(leg.to_client.buffered_since) || late(leg.to_server.buffered_since))
+                {
+                    violations_found.push((*id, Rule::Lines, "a line was held back for more than a second"));
+                    (leg.to_client.buffered_since, leg.to_server.buffered_since) = (None, None);
                 }
             }
         }
-        for (id, rule, what) in broken {
+        for (id, rule, what) in violations_found {
             let proxy = self.calls.get(&id).map_or(0, |c| c.proxy);
-            self.breach(now, rule, proxy, Some(id), what.into());
+            self.report_violation(now, rule, proxy, Some(id), what.into());
         }
     }
 
-    /// Calls that are still open.
+    /// The number of calls that are still open.
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whose link a call came on, for tests.
+    /// The link on which a call arrived, for tests.
     pub fn client_link(&self, call: u64) -> Option<LinkKey> {
         self.calls.get(&call).map(|c| c.link)
     }
--- a/crates/dewhead-world/src/discovery.rs
+++ b/crates/dewhead-world/src/discovery.rs
@@ -191,7 +191,7 @@
         for v in agent.version + 1..=version {
             let change = &discovery.versions[v as usize - 2];
             agent.entries[change.node] = Entry { health: change.health, started: change.started, changed: v };
-            self.audit.agent_has(now, n, change.node, change.health == Health::Ready, change.started);
+            self.audit.on_agent_update(now, n, change.node, change.health == Health::Ready, change.started);
         }
         agent.version = agent.version.max(version);
         self.write_watch(now, n);
--- a/crates/dewhead-world/src/node_connections.rs
+++ b/crates/dewhead-world/src/node_connections.rs
@@ -309,7 +309,7 @@
     pub(crate) fn fall_over(&mut self, now: f64, node: usize) {
         self.service.counts.nodes_crashed += 1;
         let brought: Vec<(f64, usize, f64)> = self.nodes[node].cold_arrivals.iter().copied().collect();
-        self.audit.fell(now, node, self.nodes[node].started_at, &brought);
+        self.audit.on_node_crash(now, node, self.nodes[node].started_at, &brought);
         self.kill_node(now, node);
         self.service.annotate(now, format!("node {node} has fallen over"));
     }
@@ -350,7 +350,7 @@
             Signal::Kill => {
                 let had_its_time =
                     one.stop_requested_at.is_some_and(|at| now - at >= killed_after(self) - ROUNDING);
-                self.audit.killed(proxy, had_its_time);
+                self.audit.on_kill(proxy, had_its_time);
             }
             _ if !one.listening => return,
             _ => {}
--- a/crates/dewhead-world/src/settings.rs
+++ b/crates/dewhead-world/src/settings.rs
@@ -8,12 +8,12 @@
 }
 
 /// The part of its capacity that every node has at its start, at the least.
-pub(crate) fn told_cold_share(of: &Experiment) -> f64 {
+pub(crate) fn assumed_cold_share(of: &Experiment) -> f64 {
     of.machines.iter().map(|m| m.cold_share[0]).fold(1.0, f64::min)
 }
 
 /// When every node is warm, in seconds after its start.
-pub(crate) fn told_warm_after(of: &Experiment) -> f64 {
+pub(crate) fn assumed_warm_up_time(of: &Experiment) -> f64 {
     of.machines.iter().map(|m| m.warm_up_time[1]).fold(0.0, f64::max)
 }
 
@@ -48,8 +48,8 @@
         "limits": {"mostLegs": rules.max_legs, "secondCopies": rules.second_copies, "cancel": true,
                    "retryAfter": rules.retry_after, "maxRetryAfter": ms(rules.max_retry_after),
                    "connectTimeout": ms(rules.connect_timeout)},
-        "obligations": {"coldShare": told_cold_share(of),
-                        "cold": ms(told_warm_after(of)),
+        "obligations": {"coldShare": assumed_cold_share(of),
+                        "cold": ms(assumed_warm_up_time(of)),
                         "fallMultiple": of.proxy.configured_overload_multiple.unwrap_or(rules.overload_multiple), "tipAfter": ms(rules.overload_window)},
         "specifics": {"messageAim": of.traffic.iter().map(|t| ms(t.message_target)).collect::<Vec<_>>(), "groups": false}
     })
--- a/crates/dewhead-world/src/troubles/bad_clients.rs
+++ b/crates/dewhead-world/src/troubles/bad_clients.rs
@@ -71,7 +71,7 @@
 }
 
 fn come(world: &mut World, now: f64, proxy: usize, stage: u32, text: &[u8]) {
-    let link = world.link(proxy, Peer::Bad(stage as usize), 5e-4);
+    let link = world.link(proxy, Peer::Misbehaving(stage as usize), 5e-4);
     world.post(now, link, true, Message::Open);
     for piece in text.chunks(4096) {
         world.say(now, link, piece);
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -81,7 +81,7 @@
 pub(crate) enum Peer {
     Client(ClientKey),
     /// A client that is none, in `troubles::bad_clients`.
-    Bad(usize),
+    Misbehaving(usize),
     /// A client that was told to move, and still writes.
     Lingering,
     Front,
@@ -362,7 +362,7 @@
                 self.service.proxies[p].push(proxy.connections);
             }
         }
-        self.audit.look(now);
+        self.audit.check_deadlines(now);
     }
 
     /// Makes a link between a proxy and something of the world.
@@ -479,14 +479,14 @@
                 }
                 link.shown = true;
                 self.note(now, 1, proxy, &[]);
-                self.audit.connected(now, key, proxy, far);
+                self.audit.on_connected(now, key, proxy, far);
                 self.effects.push(Effect::Connect(key, proxy));
             }
             Message::Answer(up) => {
                 self.note(now, 2, proxy, &[up as u8]);
                 if !up {
                     self.links.remove(key);
-                    self.audit.refused(now, key);
+                    self.audit.on_refused(now, key);
                 }
                 self.effects.push(if up { Effect::Established(key) } else { Effect::Refused(key) });
             }
@@ -495,7 +495,7 @@
                     return;
                 }
                 self.note(now, 3, proxy, &bytes);
-                self.audit.toward(now, key, proxy, &bytes);
+                self.audit.on_bytes_received(now, key, proxy, &bytes);
                 self.effects.push(Effect::Bytes(key, bytes));
             }
             Message::End(how) => {
@@ -503,7 +503,7 @@
                     return;
                 }
                 self.note(now, 4, proxy, &[how as u8]);
-                self.audit.far_ended(now, key, how);
+                self.audit.on_peer_end(now, key, how);
                 self.effects.push(Effect::End(key, how));
             }
         }
@@ -516,7 +516,7 @@
         }
         match link.far {
             Peer::Client(client) => self.client_gets(now, client, key, parcel),
-            Peer::Bad(n) => crate::troubles::bad_clients::gets(self, now, n, key, parcel),
+            Peer::Misbehaving(n) => crate::troubles::bad_clients::gets(self, now, n, key, parcel),
             // It goes once nobody is there to write to.
             Peer::Lingering if matches!(parcel, Message::End(EndKind::Closed | EndKind::Broken)) => {
                 self.leave(now, key, EndKind::Closed);
@@ -543,7 +543,7 @@
         self.links[key].shown = true;
         self.note(now, 5, proxy, &[]);
         if let Peer::Node(node, _) = far {
-            self.audit.dialled(now, key, proxy, node);
+            self.audit.on_dial(now, key, proxy, node);
         }
         self.post(now, key, false, Message::Open);
         key
@@ -554,7 +554,7 @@
         let Some(link) = self.links.get(key) else { return };
         let proxy = link.proxy;
         self.note(now, 6, proxy, bytes);
-        self.audit.said(now, key, proxy, bytes);
+        self.audit.on_bytes_sent(now, key, proxy, bytes);
         self.post(now, key, false, Message::Bytes(Bytes::from_slice(bytes)));
     }
 
@@ -566,7 +566,7 @@
             link.proxy_gone = true;
         }
         self.note(now, 7, proxy, &[how as u8]);
-        self.audit.proxy_ended(now, key, how);
+        self.audit.on_proxy_end(now, key, how);
         // A machine that has vanished never hears of it; what it holds it gives back when it starts anew.
         if let Peer::Node(node, None) = self.links[key].far {
             self.links[key].far_gone |= self.nodes[node].state == NodeState::Silent;
@@ -580,7 +580,7 @@
         self.note(now, 8, proxy, &[]);
         self.proxies[proxy].listening = true;
         self.proxies[proxy].stop_requested_at = None;
-        self.audit.proxy_up(now, proxy);
+        self.audit.on_proxy_start(now, proxy);
         self.service.annotate(now, format!("proxy {proxy} listens"));
         self.front_pings(now, proxy);
     }
@@ -597,7 +597,7 @@
     pub fn on_exit(&mut self, now: f64, proxy: usize) {
         self.note(now, 9, proxy, &[]);
         let listened = std::mem::replace(&mut self.proxies[proxy].listening, false);
-        self.audit.proxy_down(now, proxy);
+        self.audit.on_proxy_exit(now, proxy);
         self.service.annotate(now, format!("proxy {proxy} is gone"));
         let lost: Vec<LinkKey> = self
             .links
