--- a/crates/dewhead-world/src/discovery.rs
+++ b/crates/dewhead-world/src/discovery.rs
@@ -51,7 +51,7 @@
 }
 
 pub(crate) struct Discovery {
-    chance: RandomStream,
+    random: RandomStream,
     /// Changes by their numbers, until discovery has them; then by version, for the agents.
     coming: BTreeMap<u64, Change>,
     changes: u64,
@@ -80,7 +80,7 @@
         nodes: &[Node<C>],
         names: &[String],
         proxies: usize,
-        chance: RandomStream,
+        random: RandomStream,
     ) -> Discovery {
         let entry = Entry { health: Health::Ready, started: f64::NEG_INFINITY, changed: 1 };
         let mean = nodes.iter().map(|n| n.warm_capacity).sum::<f64>() / nodes.len().max(1) as f64;
@@ -92,7 +92,7 @@
             }
         };
         Discovery {
-            chance,
+            random,
             coming: BTreeMap::new(),
             changes: 0,
             versions: Vec::new(),
@@ -150,7 +150,7 @@
     }
 
     /// The list as this proxy last had it.
-    pub(crate) fn remembered(&self, proxy: usize) -> Value {
+    pub(crate) fn last_list(&self, proxy: usize) -> Value {
         self.listing(proxy, true, 0)
     }
 }
@@ -167,12 +167,12 @@
         let discovery = &mut self.discovery;
         discovery.changes += 1;
         discovery.coming.insert(discovery.changes, Change { node, health, started });
-        let at = now + discovery.chance.uniform_in(after) + discovery.late;
-        self.queue.push(at, Event::Listed(discovery.changes));
+        let at = now + discovery.random.uniform_in(after) + discovery.late;
+        self.queue.push(at, Event::DiscoveryUpdate(discovery.changes));
     }
 
     /// Discovery has it, unless a newer state of that node has overtaken it.
-    pub(crate) fn listed(&mut self, now: f64, number: u64) {
+    pub(crate) fn apply_update(&mut self, now: f64, number: u64) {
         let discovery = &mut self.discovery;
         let Some(change) = discovery.coming.remove(&number) else { return };
         // What became of the same node earlier, and is still on its way, is overtaken.
@@ -180,12 +180,12 @@
         discovery.versions.push(change);
         let version = discovery.versions.len() as u64 + 1;
         for agent in 0..discovery.agents.len() {
-            let at = now + self.experiment.discovery.propagation_spread * discovery.chance.uniform();
+            let at = now + self.experiment.discovery.propagation_spread * discovery.random.uniform();
             self.queue.push(at, Event::Agent(agent, version));
         }
     }
 
-    pub(crate) fn agent_hears(&mut self, now: f64, n: usize, version: u64) {
+    pub(crate) fn update_agent(&mut self, now: f64, n: usize, version: u64) {
         let discovery = &mut self.discovery;
         let agent = &mut discovery.agents[n];
         for v in agent.version + 1..=version {
@@ -214,27 +214,27 @@
     }
 
     fn chunk(&mut self, now: f64, link: LinkKey, text: &str) {
-        self.say(now, link, format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
+        self.send_bytes(now, link, format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
     }
 
-    pub(crate) fn beat(&mut self, now: f64, n: usize, link: LinkKey) {
+    pub(crate) fn send_heartbeat(&mut self, now: f64, n: usize, link: LinkKey) {
         if !self.discovery.agents[n].watches.iter().any(|watch| watch.link == link) {
             return;
         }
         if !self.discovery.agents[n].silent {
             self.chunk(now, link, "\n");
         }
-        self.queue.push(now + BEAT, Event::Beat(n, link));
+        self.queue.push(now + BEAT, Event::Heartbeat(n, link));
     }
 
     /// `at` names the proxy's agent by the address that was dialled: the proxy's own, of the so-many-th generation.
-    pub(crate) fn agent_gets(&mut self, now: f64, at: usize, key: LinkKey, parcel: Message) {
+    pub(crate) fn agent_receives(&mut self, now: f64, at: usize, key: LinkKey, message: Message) {
         let n = self.links[key].proxy;
-        match parcel {
-            Message::Open => {
+        match message {
+            Message::Connect => {
                 // The old address takes no new connection once there is another.
                 let answers = self.discovery.agents[n].address == at;
-                self.post(now, key, true, Message::Answer(answers));
+                self.send(now, key, true, Message::ConnectResult(answers));
             }
             Message::Bytes(bytes) => {
                 let agent = &mut self.discovery.agents[n];
@@ -258,21 +258,21 @@
                 let list = self.discovery.listing(n, whole, since + self.discovery.agents[n].offset);
                 let agent = &mut self.discovery.agents[n];
                 agent.watches.push(Watch { link: key, written: agent.version });
-                self.say(now, key, b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
+                self.send_bytes(now, key, b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
                 self.chunk(now, key, &format!("{list}\n"));
-                self.queue.push(now + BEAT, Event::Beat(n, key));
+                self.queue.push(now + BEAT, Event::Heartbeat(n, key));
             }
             Message::End(_) => {
-                self.agent_closes(now, n, key);
+                self.close_watch(now, n, key);
             }
-            Message::Answer(_) => {}
+            Message::ConnectResult(_) => {}
         }
     }
 
-    pub(crate) fn agent_closes(&mut self, now: f64, n: usize, key: LinkKey) {
+    pub(crate) fn close_watch(&mut self, now: f64, n: usize, key: LinkKey) {
         let agent = &mut self.discovery.agents[n];
         agent.watches.retain(|watch| watch.link != key);
-        self.leave(now, key, EndKind::Closed);
+        self.close_from_peer(now, key, EndKind::Closed);
     }
 
     /// Discovery starts anew and counts its versions from one again; its watches end.
@@ -282,7 +282,7 @@
             let agent = &mut self.discovery.agents[n];
             agent.offset = agent.version - 1;
             for watch in std::mem::take(&mut agent.watches) {
-                self.leave(now, watch.link, EndKind::Closed);
+                self.close_from_peer(now, watch.link, EndKind::Closed);
             }
         }
     }
@@ -297,7 +297,7 @@
         }
         self.service.annotate(now, format!("proxy {proxy} is configured anew"));
         if self.proxies[proxy].listening {
-            self.ask(Effect::Reconfigure(proxy, address));
+            self.emit(Effect::Reconfigure(proxy, address));
         }
     }
 
--- a/crates/dewhead-world/src/front.rs
+++ b/crates/dewhead-world/src/front.rs
@@ -7,16 +7,16 @@
 pub(crate) struct Front {
     /// By zone: the proxies that it sends to.
     zones: Vec<Vec<usize>>,
-    chance: RandomStream,
+    random: RandomStream,
 }
 
 /// A proxy that has not answered is asked again after this.
 const ASK_AGAIN: f64 = 0.1;
 
 impl Front {
-    pub(crate) fn new(proxies: &[Proxy], zones: usize, chance: RandomStream) -> Front {
+    pub(crate) fn new(proxies: &[Proxy], zones: usize, random: RandomStream) -> Front {
         // A zone without a proxy of its own sends to the next one's.
-        let mut front = Front { zones: vec![Vec::new(); zones], chance };
+        let mut front = Front { zones: vec![Vec::new(); zones], random };
         front.zones.truncate(zones.min(proxies.len()).max(1));
         front
     }
@@ -32,7 +32,7 @@
         if all.is_empty() {
             return None;
         }
-        Some(all[self.chance.index(all.len())])
+        Some(all[self.random.index(all.len())])
     }
 
     fn drop_proxy(&mut self, proxy: usize) {
@@ -49,27 +49,27 @@
             return;
         }
         let latency = self.network.client_latency();
-        let link = self.link(proxy, Peer::Front, latency);
-        self.post(now, link, true, Message::Open);
-        self.say(now, link, b"PING\r\n");
+        let link = self.open_link(proxy, Peer::Front, latency);
+        self.send(now, link, true, Message::Connect);
+        self.send_bytes(now, link, b"PING\r\n");
     }
 
-    pub(crate) fn front_gets(&mut self, now: f64, key: LinkKey, parcel: Message) {
+    pub(crate) fn front_receives(&mut self, now: f64, key: LinkKey, message: Message) {
         let proxy = self.links[key].proxy;
-        match parcel {
+        match message {
             Message::Bytes(bytes) if bytes.first() == Some(&b'P') => {
                 self.front.drop_proxy(proxy);
                 let zone = self.proxies[proxy].zone % self.front.zones.len();
                 self.front.zones[zone].push(proxy);
                 self.front.zones[zone].sort_unstable();
-                self.leave(now, key, EndKind::Closed);
+                self.close_from_peer(now, key, EndKind::Closed);
             }
-            Message::Bytes(_) | Message::Open => {}
+            Message::Bytes(_) | Message::Connect => {}
             Message::End(_) => {
-                self.leave(now, key, EndKind::Closed);
+                self.close_from_peer(now, key, EndKind::Closed);
                 self.queue.push(now + ASK_AGAIN, Event::FrontPing(proxy));
             }
-            Message::Answer(_) => {
+            Message::ConnectResult(_) => {
                 self.links.remove(key);
                 self.queue.push(now + ASK_AGAIN, Event::FrontPing(proxy));
             }
@@ -77,19 +77,19 @@
     }
 
     /// A process has died: the front goes on sending to it for a while.
-    pub(crate) fn front_loses(&mut self, now: f64, proxy: usize) {
-        let late = self.front.chance.uniform_in(self.experiment.front.failure_notice);
-        self.queue.push(now + late, Event::FrontDrops(proxy, self.proxies[proxy].start_count));
+    pub(crate) fn front_notices_exit(&mut self, now: f64, proxy: usize) {
+        let late = self.front.random.uniform_in(self.experiment.front.failure_notice);
+        self.queue.push(now + late, Event::FrontRemoves(proxy, self.proxies[proxy].start_count));
     }
 
     /// A process is told to stop: new clients go on coming for a moment.
-    pub(crate) fn front_stops(&mut self, now: f64, proxy: usize) {
-        let late = self.front.chance.uniform_in(self.experiment.front.stop_notice);
-        self.queue.push(now + late, Event::FrontDrops(proxy, self.proxies[proxy].start_count));
+    pub(crate) fn front_notices_stop(&mut self, now: f64, proxy: usize) {
+        let late = self.front.random.uniform_in(self.experiment.front.stop_notice);
+        self.queue.push(now + late, Event::FrontRemoves(proxy, self.proxies[proxy].start_count));
     }
 
     /// The front has noticed, unless the proxy serves again by now.
-    pub(crate) fn front_drops(&mut self, proxy: usize, start: u64) {
+    pub(crate) fn front_removes(&mut self, proxy: usize, start: u64) {
         let one = &self.proxies[proxy];
         if !one.listening || one.start_count == start && one.is_stopping() {
             self.front.drop_proxy(proxy);
--- a/crates/dewhead-world/src/network.rs
+++ b/crates/dewhead-world/src/network.rs
@@ -5,7 +5,7 @@
 
 pub struct Network {
     ways: NetworkSettings,
-    chance: RandomStream,
+    random: RandomStream,
     /// Pairs of zones that hear nothing of each other, lower first; one leaves when its cut ends.
     cut: Vec<(usize, usize)>,
     /// By how much all links are slower.
@@ -13,29 +13,29 @@
 }
 
 impl Network {
-    pub fn new(ways: &NetworkSettings, chance: RandomStream) -> Network {
-        Network { ways: ways.clone(), chance, cut: Vec::new(), latency_factor: 1.0 }
+    pub fn new(ways: &NetworkSettings, random: RandomStream) -> Network {
+        Network { ways: ways.clone(), random, cut: Vec::new(), latency_factor: 1.0 }
     }
 
     /// One way between a proxy and a node, or another machine.
     pub fn latency_between(&mut self, one: usize, other: usize) -> f64 {
         let range = if one == other { self.ways.within_zone } else { self.ways.cross_zone };
-        self.chance.uniform_in(range)
+        self.random.uniform_in(range)
     }
 
     pub fn client_latency(&mut self) -> f64 {
-        self.chance.uniform_in(self.ways.client)
+        self.random.uniform_in(self.ways.client)
     }
 
     /// How long a message takes on a link of this latency now.
     pub fn transit_time(&mut self, latency: f64) -> f64 {
-        latency * self.latency_factor * (1.0 + self.ways.jitter * self.chance.uniform())
+        latency * self.latency_factor * (1.0 + self.ways.jitter * self.random.uniform())
     }
 
     /// Where a message of so many bytes is cut, if it is.
     pub fn split_point(&mut self, length: usize) -> Option<usize> {
-        if length > 1 && self.ways.split_share > 0.0 && self.chance.bernoulli(self.ways.split_share) {
-            Some(1 + self.chance.index(length - 1))
+        if length > 1 && self.ways.split_share > 0.0 && self.random.bernoulli(self.ways.split_share) {
+            Some(1 + self.random.index(length - 1))
         } else {
             None
         }
--- a/crates/dewhead-world/src/node_connections.rs
+++ b/crates/dewhead-world/src/node_connections.rs
@@ -18,7 +18,7 @@
     pub proxy: usize,
     /// Whose it is, once its first line has been read.
     pub client: Option<ClientKey>,
-    pub kind: usize,
+    pub traffic_type: usize,
     pub load: f64,
     pub up: bool,
     /// Whether it counts as served at its node, and with what worth.
@@ -45,18 +45,18 @@
 }
 
 impl World {
-    pub(crate) fn node_gets(
+    pub(crate) fn node_receives(
         &mut self,
         now: f64,
         node: usize,
         at: Option<ConnectionKey>,
         key: LinkKey,
-        parcel: Message,
+        message: Message,
     ) {
-        match parcel {
-            Message::Open => match self.nodes[node].state {
+        match message {
+            Message::Connect => match self.nodes[node].state {
                 NodeState::Dead => {
-                    self.post(now, key, true, Message::Answer(false));
+                    self.send(now, key, true, Message::ConnectResult(false));
                 }
                 NodeState::Silent => {}
                 NodeState::Up | NodeState::Draining => {
@@ -66,15 +66,15 @@
                         node,
                         proxy,
                         client: None,
-                        kind: 0,
+                        traffic_type: 0,
                         load: 0.0,
                         up: false,
                         counted: None,
                         line: Bytes::new(),
                     });
-                    self.links[key].far = Peer::Node(node, Some(connection));
+                    self.links[key].peer = Peer::Node(node, Some(connection));
                     self.nodes[node].connections += 1;
-                    self.post(now, key, true, Message::Answer(true));
+                    self.send(now, key, true, Message::ConnectResult(true));
                 }
             },
             Message::Bytes(bytes) => {
@@ -84,33 +84,33 @@
                 if one.up {
                     // Every line is said back, in the node's own time.
                     if self.experiment.node.echoes_immediately {
-                        self.post(now, key, true, Message::Bytes(bytes));
+                        self.send(now, key, true, Message::Bytes(bytes));
                     } else {
                         let late = self.nodes[node].queueing_delay(now);
-                        self.post(now + late, key, true, Message::Bytes(bytes));
+                        self.send(now + late, key, true, Message::Bytes(bytes));
                     }
                     return;
                 }
                 lines(&mut one.line, &bytes, |line| said.push(line.to_owned()));
                 if let Some(head) = said.first() {
                     let head = head.clone();
-                    self.asked(now, connection, &head);
+                    self.on_open_line(now, connection, &head);
                 }
             }
             Message::End(_) => match at {
                 Some(connection) => self.drop_connection(now, connection, EndKind::Closed),
-                None => self.leave(now, key, EndKind::Closed),
+                None => self.close_from_peer(now, key, EndKind::Closed),
             },
-            Message::Answer(_) => {}
+            Message::ConnectResult(_) => {}
         }
     }
 
     /// A first line has come.
-    fn asked(&mut self, now: f64, key: ConnectionKey, head: &str) {
+    fn on_open_line(&mut self, now: f64, key: ConnectionKey, head: &str) {
         let node = self.connections[key].node;
         let link = self.connections[key].link;
         let refuse = |world: &mut World, text: &[u8]| {
-            world.say(now, link, text);
+            world.send_bytes(now, link, text);
             world.drop_connection(now, key, EndKind::Closed);
         };
         let mut words = head.split(' ');
@@ -125,9 +125,9 @@
             return refuse(self, b"BUSY\r\n");
         };
         let again = value(list, "at").is_some_and(|name| name == self.node_names[node]);
-        let (kind, load) = (self.clients[client].kind, self.clients[client].load);
+        let (traffic_type, load) = (self.clients[client].traffic_type, self.clients[client].load);
         let one = &mut self.connections[key];
-        (one.client, one.kind) = (Some(client), kind);
+        (one.client, one.traffic_type) = (Some(client), traffic_type);
         let proxy = one.proxy;
         self.service.counts.legs += 1;
         if self.proxies[proxy].zone != self.nodes[node].zone {
@@ -137,13 +137,13 @@
             self.nodes[node].cold_arrivals.push_back((now, proxy, load));
         }
         if again && self.nodes[node].state == NodeState::Up {
-            return self.set_up_done(now, key);
+            return self.establish(now, key);
         }
         if self.nodes[node].state == NodeState::Draining {
             return refuse(self, b"BUSY\r\n");
         }
         let errors = self.nodes[node].error_share;
-        if errors > 0.0 && self.node_chance.bernoulli(errors) {
+        if errors > 0.0 && self.node_random.bernoulli(errors) {
             return refuse(self, b"ERR\r\n");
         }
         let full = self.nodes[node].connections > self.nodes[node].max_connections;
@@ -152,34 +152,34 @@
             return refuse(self, b"BUSY\r\n");
         }
         // Set-up work differs from one to the next.
-        let work = self.experiment.node.setup_work * (0.5 + self.node_chance.uniform());
+        let work = self.experiment.node.setup_work * (0.5 + self.node_random.uniform());
         self.nodes[node].begin_setup(now, work, key);
-        self.guess_set_up(now, node);
+        self.estimate_setup(now, node);
     }
 
     /// Reckons anew when the next set-up is done.
-    pub(crate) fn guess_set_up(&mut self, now: f64, node: usize) {
+    pub(crate) fn estimate_setup(&mut self, now: f64, node: usize) {
         if let Some(at) = self.nodes[node].next_setup_time() {
-            self.guesses[node] = self.guesses[node].wrapping_add(1);
-            self.queue.push(at.max(now), Event::SetUp(node, self.guesses[node]));
+            self.setup_estimates[node] = self.setup_estimates[node].wrapping_add(1);
+            self.queue.push(at.max(now), Event::SetupDone(node, self.setup_estimates[node]));
         }
     }
 
-    pub(crate) fn set_up_due(&mut self, now: f64, node: usize, guess: u32) {
-        if self.guesses[node] != guess {
+    pub(crate) fn finish_setups(&mut self, now: f64, node: usize, estimate: u32) {
+        if self.setup_estimates[node] != estimate {
             return;
         }
         while let Some(key) = self.nodes[node].pop_finished_setup(now) {
             if self.connections.get(key).is_some_and(|c| c.node == node) {
-                self.set_up_done(now, key);
+                self.establish(now, key);
             }
         }
-        self.guess_set_up(now, node);
+        self.estimate_setup(now, node);
     }
 
-    fn set_up_done(&mut self, now: f64, key: ConnectionKey) {
+    fn establish(&mut self, now: f64, key: ConnectionKey) {
         let one = &mut self.connections[key];
-        let (link, node, kind) = (one.link, one.node, one.kind);
+        let (link, node, traffic_type) = (one.link, one.node, one.traffic_type);
         let load = one.client.and_then(|c| self.clients.get(c)).map_or(0.0, |c| c.load);
         one.up = true;
         one.load = load;
@@ -190,53 +190,53 @@
         if self.experiment.node.reports_load {
             text.push_str(&format!("LOAD {}\r\n", (load * 1e6).round()));
         }
-        self.say(now, link, text.as_bytes());
-        let gap = self.node_chance.exponential(self.experiment.traffic[kind].change_interval);
+        self.send_bytes(now, link, text.as_bytes());
+        let gap = self.node_random.exponential(self.experiment.traffic[traffic_type].change_interval);
         self.queue.push(now + gap, Event::LoadChange(key));
     }
 
-    pub(crate) fn load_changes(&mut self, now: f64, key: ConnectionKey) {
+    pub(crate) fn change_connection_load(&mut self, now: f64, key: ConnectionKey) {
         let Some(one) = self.connections.get(key) else { return };
-        let (link, node, kind, before) = (one.link, one.node, one.kind, one.load);
+        let (link, node, traffic_type, before) = (one.link, one.node, one.traffic_type, one.load);
         let base = one.client.and_then(|c| self.clients.get(c)).map_or(before, |c| c.load);
-        let traffic = &self.experiment.traffic[kind];
-        let load = if self.node_chance.bernoulli(traffic.idle) {
+        let traffic = &self.experiment.traffic[traffic_type];
+        let load = if self.node_random.bernoulli(traffic.idle) {
             0.0
         } else {
-            base * self.node_chance.lognormal(traffic.swing_sigma)
+            base * self.node_random.lognormal(traffic.swing_sigma)
         };
-        let gap = self.node_chance.exponential(traffic.change_interval);
+        let gap = self.node_random.exponential(traffic.change_interval);
         self.connections[key].load = load;
         self.nodes[node].change_load(now, load - before);
         if self.experiment.node.reports_load {
-            self.say(now, link, format!("LOAD {}\r\n", (load * 1e6).round()).as_bytes());
+            self.send_bytes(now, link, format!("LOAD {}\r\n", (load * 1e6).round()).as_bytes());
         }
         self.queue.push(now + gap, Event::LoadChange(key));
     }
 
     /// A client has been told that it stands: from now on it counts where it stands.
-    pub(crate) fn count_standing(&mut self, receipt: &str, worth: f64) -> Option<ConnectionKey> {
+    pub(crate) fn count_established(&mut self, receipt: &str, revenue_rate: f64) -> Option<ConnectionKey> {
         let key = ConnectionKey::from(KeyData::from_ffi(u64::from_str_radix(receipt, 16).ok()?));
         let one = self.connections.get_mut(key)?;
-        one.counted = Some(worth);
-        let (node, kind) = (one.node, one.kind);
-        self.nodes[node].add_served(kind, worth);
+        one.counted = Some(revenue_rate);
+        let (node, traffic_type) = (one.node, one.traffic_type);
+        self.nodes[node].add_served(traffic_type, revenue_rate);
         Some(key)
     }
 
     /// And no longer, whoever finds out first.
-    pub(crate) fn uncount(&mut self, key: ConnectionKey) {
+    pub(crate) fn stop_counting(&mut self, key: ConnectionKey) {
         if let Some(one) = self.connections.get_mut(key) {
-            if let Some(worth) = one.counted.take() {
-                let (node, kind) = (one.node, one.kind);
-                self.nodes[node].add_served(kind, -worth);
+            if let Some(revenue_rate) = one.counted.take() {
+                let (node, traffic_type) = (one.node, one.traffic_type);
+                self.nodes[node].add_served(traffic_type, -revenue_rate);
             }
         }
     }
 
     /// The node has nothing more to do with a connection.
-    pub(crate) fn drop_connection(&mut self, now: f64, key: ConnectionKey, how: EndKind) {
-        self.uncount(key);
+    pub(crate) fn drop_connection(&mut self, now: f64, key: ConnectionKey, end_kind: EndKind) {
+        self.stop_counting(key);
         let Some(one) = self.connections.remove(key) else { return };
         let node = &mut self.nodes[one.node];
         if node.connections > 0 {
@@ -245,10 +245,10 @@
         if one.up {
             node.change_load(now, -one.load);
         }
-        self.leave(now, one.link, how);
+        self.close_from_peer(now, one.link, end_kind);
     }
 
-    pub(crate) fn at_node(&self, node: usize) -> Vec<ConnectionKey> {
+    pub(crate) fn connections_at(&self, node: usize) -> Vec<ConnectionKey> {
         self.connections.iter().filter(|(_, c)| c.node == node).map(|(k, _)| k).collect()
     }
 
@@ -258,17 +258,17 @@
         self.service.annotate(now, format!("node {node} drains"));
         self.change_listing(now, node, self.experiment.discovery.update_notice);
         let spread = self.experiment.node.drain_spread;
-        for key in self.at_node(node) {
+        for key in self.connections_at(node) {
             if self.connections[key].up {
-                let at = now + spread * self.node_chance.uniform();
-                self.queue.push(at, Event::SendAway(key));
+                let at = now + spread * self.node_random.uniform();
+                self.queue.push(at, Event::MoveClient(key));
             }
         }
     }
 
-    pub(crate) fn send_away(&mut self, now: f64, key: ConnectionKey) {
+    pub(crate) fn move_client(&mut self, now: f64, key: ConnectionKey) {
         if let Some(one) = self.connections.get(key) {
-            self.say(now, one.link, b"MOVE\r\n");
+            self.send_bytes(now, one.link, b"MOVE\r\n");
             self.drop_connection(now, key, EndKind::Closed);
         }
     }
@@ -276,7 +276,7 @@
     /// The process dies: its connections are reset, new ones refused.
     pub(crate) fn kill_node(&mut self, now: f64, node: usize) {
         self.service.annotate(now, format!("node {node} dies"));
-        for key in self.at_node(node) {
+        for key in self.connections_at(node) {
             self.drop_connection(now, key, EndKind::Broken);
         }
         self.nodes[node].reset(now);
@@ -287,8 +287,8 @@
     /// The machine vanishes: nothing comes back, and nobody is told.
     pub(crate) fn silence_node(&mut self, now: f64, node: usize) {
         self.service.annotate(now, format!("node {node} goes silent"));
-        for key in self.at_node(node) {
-            self.uncount(key);
+        for key in self.connections_at(node) {
+            self.stop_counting(key);
         }
         self.nodes[node].state = NodeState::Silent;
         self.change_listing(now, node, self.experiment.discovery.silent_notice);
@@ -299,14 +299,14 @@
         self.service.annotate(now, format!("node {node} starts"));
         // Back on the network first, so that the resets get through.
         self.nodes[node].state = NodeState::Up;
-        for key in self.at_node(node) {
+        for key in self.connections_at(node) {
             self.drop_connection(now, key, EndKind::Broken);
         }
         self.nodes[node].start(now);
         self.change_listing(now, node, self.experiment.discovery.update_notice);
     }
 
-    pub(crate) fn fall_over(&mut self, now: f64, node: usize) {
+    pub(crate) fn crash_overloaded(&mut self, now: f64, node: usize) {
         self.service.counts.nodes_crashed += 1;
         let brought: Vec<(f64, usize, f64)> = self.nodes[node].cold_arrivals.iter().copied().collect();
         self.audit.on_node_crash(now, node, self.nodes[node].started_at, &brought);
@@ -315,12 +315,12 @@
     }
 
     /// A node far behind with its work breaks off its newest connections until it can keep up.
-    pub(crate) fn shed(&mut self, now: f64, node: usize) {
+    pub(crate) fn shed_connections(&mut self, now: f64, node: usize) {
         let from = self.experiment.node.shed_threshold;
         if from <= 0.0 || self.nodes[node].queueing_delay(now) < from {
             return;
         }
-        let mut standing = self.at_node(node);
+        let mut standing = self.connections_at(node);
         standing.retain(|k| self.connections[*k].up);
         // Slots are used again, so that the newest are told by when their clients were placed.
         let since = |k: &ConnectionKey| {
@@ -344,7 +344,7 @@
         match signal {
             Signal::Stop | Signal::StopGroup if one.listening && !one.is_stopping() => {
                 one.stop_requested_at = Some(now);
-                self.front_stops(now, proxy);
+                self.front_notices_stop(now, proxy);
             }
             // One that has ended by itself may have left others behind.
             Signal::Kill => {
@@ -356,6 +356,6 @@
             _ => {}
         }
         self.service.annotate(now, format!("proxy {proxy} gets {signal:?}"));
-        self.ask(Effect::Signal(proxy, signal));
+        self.emit(Effect::Signal(proxy, signal));
     }
 }
--- a/crates/dewhead-world/src/nodes.rs
+++ b/crates/dewhead-world/src/nodes.rs
@@ -16,7 +16,7 @@
 }
 
 /// A connection being set up: done once all work that was there before it, and its own, is done.
-struct SetUp<C> {
+struct PendingSetup<C> {
     mark: f64,
     /// One core takes so long for it at the least.
     earliest: f64,
@@ -44,12 +44,12 @@
     /// Load asked by what stands.
     load: f64,
     /// Worth of what stands and is counted, by traffic type.
-    worth: Vec<f64>,
+    revenue_rate: Vec<f64>,
     /// Work asked since the start, and how much of it is not done yet, in core-seconds.
     asked: f64,
     pile: f64,
     at: f64,
-    set_ups: VecDeque<SetUp<C>>,
+    set_ups: VecDeque<PendingSetup<C>>,
     /// While cold: what was asked by when, what could be done by then, and who brought how much.
     cold: VecDeque<(f64, f64, f64)>,
     pub cold_arrivals: VecDeque<(f64, usize, f64)>,
@@ -62,10 +62,10 @@
         ways: &NodeBehaviour,
         zone: usize,
         cell: u64,
-        kinds: usize,
-        chance: &mut RandomStream,
+        traffic_types: usize,
+        random: &mut RandomStream,
     ) -> Node<C> {
-        let core = chance.uniform_in(machine.speed);
+        let core = random.uniform_in(machine.speed);
         Node {
             zone,
             cell,
@@ -77,10 +77,10 @@
             core_speed: core,
             max_connections: (ways.connections_per_core * machine.cores) as usize,
             connections: 0,
-            cold_share: chance.uniform_in(machine.cold_share),
-            warm_after: chance.uniform_in(machine.warm_up_time),
+            cold_share: random.uniform_in(machine.cold_share),
+            warm_after: random.uniform_in(machine.warm_up_time),
             load: 0.0,
-            worth: vec![0.0; kinds],
+            revenue_rate: vec![0.0; traffic_types],
             asked: 0.0,
             pile: 0.0,
             at: 0.0,
@@ -102,7 +102,7 @@
     pub fn reset(&mut self, now: f64) {
         self.connections = 0;
         self.load = 0.0;
-        self.worth.iter_mut().for_each(|w| *w = 0.0);
+        self.revenue_rate.iter_mut().for_each(|w| *w = 0.0);
         self.pile = 0.0;
         self.at = now;
         self.set_ups.clear();
@@ -149,13 +149,13 @@
     }
 
     /// A connection stands here from now on as far as clients are served, or no longer.
-    pub fn add_served(&mut self, kind: usize, worth: f64) {
-        self.worth[kind] = (self.worth[kind] + worth).max(0.0);
+    pub fn add_served(&mut self, traffic_type: usize, revenue_rate: f64) {
+        self.revenue_rate[traffic_type] = (self.revenue_rate[traffic_type] + revenue_rate).max(0.0);
     }
 
     /// The worth of what stands, by traffic type.
     pub fn served_revenue(&self) -> &[f64] {
-        &self.worth
+        &self.revenue_rate
     }
 
     /// A new connection's set-up begins.
@@ -163,7 +163,7 @@
         self.advance(now);
         self.asked += work;
         self.pile += work;
-        self.set_ups.push_back(SetUp {
+        self.set_ups.push_back(PendingSetup {
             mark: self.asked,
             earliest: now + work / self.core_speed,
             connection,
--- a/crates/dewhead-world/src/service.rs
+++ b/crates/dewhead-world/src/service.rs
@@ -62,7 +62,7 @@
 }
 
 pub struct ServiceMetrics {
-    kinds: usize,
+    traffic_types: usize,
     wanted: Vec<Meter>,
     served: Vec<Meter>,
     pub setup_times: Vec<Histogram<u64>>,
@@ -97,13 +97,13 @@
 }
 
 impl ServiceMetrics {
-    pub fn new(kinds: usize, nodes: usize, proxies: usize) -> ServiceMetrics {
+    pub fn new(traffic_types: usize, nodes: usize, proxies: usize) -> ServiceMetrics {
         let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are sound");
         ServiceMetrics {
-            kinds,
-            wanted: (0..kinds).map(|_| Meter::default()).collect(),
-            served: (0..kinds).map(|_| Meter::default()).collect(),
-            setup_times: (0..kinds).map(|_| histogram()).collect(),
+            traffic_types,
+            wanted: (0..traffic_types).map(|_| Meter::default()).collect(),
+            served: (0..traffic_types).map(|_| Meter::default()).collect(),
+            setup_times: (0..traffic_types).map(|_| histogram()).collect(),
             counts: Counts::default(),
             nodes: vec![Vec::new(); nodes],
             proxies: vec![Vec::new(); proxies],
@@ -112,9 +112,9 @@
     }
 
     /// A client wants service of this worth from now on, or no longer.
-    pub fn change_demand(&mut self, now: f64, kind: usize, worth: f64) {
-        let rate = self.wanted[kind].rate + worth;
-        self.wanted[kind].set(now, rate);
+    pub fn change_demand(&mut self, now: f64, traffic_type: usize, revenue_rate: f64) {
+        let rate = self.wanted[traffic_type].rate + revenue_rate;
+        self.wanted[traffic_type].set(now, rate);
     }
 
     /// What is served well from now on, by traffic type.
@@ -124,8 +124,8 @@
         }
     }
 
-    pub fn record_setup(&mut self, kind: usize, took: f64, target: f64) {
-        self.setup_times[kind].saturating_record((took * 1e6).max(1.0) as u64);
+    pub fn record_setup(&mut self, traffic_type: usize, took: f64, target: f64) {
+        self.setup_times[traffic_type].saturating_record((took * 1e6).max(1.0) as u64);
         if took > target {
             self.counts.late_setups += 1;
         }
@@ -145,12 +145,12 @@
         let sum =
             |meter: &Meter, from: usize, to: usize| meter.seconds.iter().take(to).skip(from).sum::<f64>();
         let share = |served: f64, wanted: f64| if wanted > 0.0 { (served / wanted).min(1.0) } else { 1.0 };
-        let both = |kinds: std::ops::Range<usize>, from, to| {
-            let served: f64 = self.served[kinds.clone()].iter().map(|m| sum(m, from, to)).sum();
-            let wanted: f64 = self.wanted[kinds].iter().map(|m| sum(m, from, to)).sum();
+        let both = |traffic_types: std::ops::Range<usize>, from, to| {
+            let served: f64 = self.served[traffic_types.clone()].iter().map(|m| sum(m, from, to)).sum();
+            let wanted: f64 = self.wanted[traffic_types].iter().map(|m| sum(m, from, to)).sum();
             share(served, wanted)
         };
-        let by_type: Vec<f64> = (0..self.kinds).map(|k| both(k..k + 1, from, to)).collect();
+        let by_type: Vec<f64> = (0..self.traffic_types).map(|k| both(k..k + 1, from, to)).collect();
         let windows = from..=to.saturating_sub(10).max(from);
         let mut all = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("the bounds are sound");
         for one in &self.setup_times {
@@ -159,8 +159,10 @@
         let at = |part: f64| all.value_at_quantile(part) as f64 / 1e6;
         let second = |meters: &[Meter], s: usize| meters.iter().map(|m| sum(m, s, s + 1)).sum::<f64>();
         Outcome {
-            service: both(0..self.kinds, from, to),
-            worst_ten_seconds: windows.map(|w| both(0..self.kinds, w, (w + 10).min(to))).fold(1.0, f64::min),
+            service: both(0..self.traffic_types, from, to),
+            worst_ten_seconds: windows
+                .map(|w| both(0..self.traffic_types, w, (w + 10).min(to)))
+                .fold(1.0, f64::min),
             worst_type: by_type.iter().copied().fold(1.0, f64::min),
             by_type,
             setup_times: [at(0.5), at(0.99), at(0.999)],
--- a/crates/dewhead-world/src/troubles/alone.rs
+++ b/crates/dewhead-world/src/troubles/alone.rs
@@ -12,15 +12,15 @@
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
-        let stays = world.trouble_chance[n].index(world.proxies.len());
+        let stays = world.trouble_random[n].index(world.proxies.len());
         let others: Vec<usize> = (0..world.proxies.len()).filter(|p| *p != stays).collect();
         for proxy in &others {
             world.signal(now, *proxy, Signal::Stop);
         }
-        world.hit.insert(n, others);
+        world.affected.insert(n, others);
         return Some(now + trouble.duration);
     }
-    for proxy in world.hit.remove(&n).unwrap_or_default() {
+    for proxy in world.affected.remove(&n).unwrap_or_default() {
         world.signal(now, proxy, Signal::Kill);
         world.start_proxy(now, proxy);
     }
--- a/crates/dewhead-world/src/troubles/bad_clients.rs
+++ b/crates/dewhead-world/src/troubles/bad_clients.rs
@@ -41,23 +41,23 @@
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     let ends = trouble.at + trouble.duration;
-    let overdue = world.bad.0.iter().filter(|b| now - b.since > OWED + 0.1).count();
+    let overdue = world.misbehaving.0.iter().filter(|b| now - b.since > OWED + 0.1).count();
     world.service.counts.misbehaving_clients_unanswered += overdue as u64;
     let left: Vec<LinkKey> =
-        world.bad.0.iter().filter(|b| now - b.since > OWED + 0.1).map(|b| b.link).collect();
-    world.bad.0.retain(|b| now - b.since <= OWED + 0.1);
+        world.misbehaving.0.iter().filter(|b| now - b.since > OWED + 0.1).map(|b| b.link).collect();
+    world.misbehaving.0.retain(|b| now - b.since <= OWED + 0.1);
     for link in left {
-        world.leave(now, link, EndKind::Closed);
+        world.close_from_peer(now, link, EndKind::Closed);
     }
     if now < ends {
         let many = trouble.magnitude * EVERY;
-        let many = many.floor() as usize + usize::from(world.trouble_chance[n].bernoulli(many.fract()));
+        let many = many.floor() as usize + usize::from(world.trouble_random[n].bernoulli(many.fract()));
         for _ in 0..many {
-            let proxy = world.trouble_chance[n].index(world.proxies.len());
+            let proxy = world.trouble_random[n].index(world.proxies.len());
             if !world.proxies[proxy].listening {
                 continue;
             }
-            let kind = world.trouble_chance[n].index(8);
+            let kind = world.trouble_random[n].index(8);
             let call = world.calls.keys().next().copied().unwrap_or(1);
             come(world, now, proxy, stage, &words(kind, call));
         }
@@ -71,27 +71,27 @@
 }
 
 fn come(world: &mut World, now: f64, proxy: usize, stage: u32, text: &[u8]) {
-    let link = world.link(proxy, Peer::Misbehaving(stage as usize), 5e-4);
-    world.post(now, link, true, Message::Open);
+    let link = world.open_link(proxy, Peer::Misbehaving(stage as usize), 5e-4);
+    world.send(now, link, true, Message::Connect);
     for piece in text.chunks(4096) {
-        world.say(now, link, piece);
+        world.send_bytes(now, link, piece);
     }
     world.service.counts.misbehaving_clients += 1;
-    world.bad.0.push(Bad { link, since: now });
+    world.misbehaving.0.push(Bad { link, since: now });
 }
 
 /// It has got something: a line or an end, either will do.
-pub(crate) fn gets(world: &mut World, now: f64, _n: usize, key: LinkKey, parcel: Message) {
-    match parcel {
-        Message::Open => {}
-        Message::Answer(_) => {
-            world.bad.0.retain(|b| b.link != key);
+pub(crate) fn receive(world: &mut World, now: f64, _n: usize, key: LinkKey, message: Message) {
+    match message {
+        Message::Connect => {}
+        Message::ConnectResult(_) => {
+            world.misbehaving.0.retain(|b| b.link != key);
             world.links.remove(key);
         }
-        Message::Bytes(_) => world.bad.0.retain(|b| b.link != key),
+        Message::Bytes(_) => world.misbehaving.0.retain(|b| b.link != key),
         Message::End(_) => {
-            world.bad.0.retain(|b| b.link != key);
-            world.leave(now, key, EndKind::Closed);
+            world.misbehaving.0.retain(|b| b.link != key);
+            world.close_from_peer(now, key, EndKind::Closed);
         }
     }
 }
--- a/crates/dewhead-world/src/troubles/drain.rs
+++ b/crates/dewhead-world/src/troubles/drain.rs
@@ -16,14 +16,14 @@
         choose_nodes(world, trouble, n);
     }
     // Drains and starts take turns: even stages drain, odd ones start what was drained before.
-    let hit = super::turn(world, trouble, n, stage / 2);
+    let affected = super::turn(world, trouble, n, stage / 2);
     if stage.is_multiple_of(2) {
-        for node in hit {
+        for node in affected {
             world.drain(now, node);
         }
         return Some(now + trouble.magnitude);
     }
-    for node in hit {
+    for node in affected {
         world.kill_node(now, node);
         world.start_node(now, node);
     }
--- a/crates/dewhead-world/src/troubles/handover_stop.rs
+++ b/crates/dewhead-world/src/troubles/handover_stop.rs
@@ -20,19 +20,19 @@
         choose_proxies(world, trouble, n);
     }
     let number = stage / STEPS;
-    let hit = turn(world, trouble, n, number);
+    let affected = turn(world, trouble, n, number);
     match stage % STEPS {
         0 => {
-            hit.into_iter().for_each(|proxy| world.hand_over(now, proxy));
-            Some(now + trouble.magnitude * world.trouble_chance[n].uniform())
+            affected.into_iter().for_each(|proxy| world.hand_over(now, proxy));
+            Some(now + trouble.magnitude * world.trouble_random[n].uniform())
         }
         1 => {
             let signal = if number.is_multiple_of(2) { Signal::Stop } else { Signal::StopGroup };
-            hit.into_iter().for_each(|proxy| world.signal(now, proxy, signal));
+            affected.into_iter().for_each(|proxy| world.signal(now, proxy, signal));
             Some(now + killed_after(world))
         }
         _ => {
-            for proxy in hit {
+            for proxy in affected {
                 world.signal(now, proxy, Signal::Kill);
                 world.start_proxy(now, proxy);
             }
--- a/crates/dewhead-world/src/troubles/idle_crowd.rs
+++ b/crates/dewhead-world/src/troubles/idle_crowd.rs
@@ -19,9 +19,9 @@
     if stage == 0 {
         choose_proxies(world, trouble, n);
     }
-    let hit = world.hit.get(&n).cloned().unwrap_or_default();
+    let affected = world.affected.get(&n).cloned().unwrap_or_default();
     let many = (trouble.magnitude / f64::from(WAVES)).ceil() as usize;
-    for proxy in hit {
+    for proxy in affected {
         let comes = if world.proxies[proxy].listening { many } else { 0 };
         (0..comes).for_each(|_| silent(world, now, proxy));
     }
--- a/crates/dewhead-world/src/troubles/mod.rs
+++ b/crates/dewhead-world/src/troubles/mod.rs
@@ -86,9 +86,9 @@
 /// Chooses `part` of these by the trouble's own chance, one at the least, in their order.
 fn choose(world: &mut World, n: usize, part: f64, mut of: Vec<usize>) -> Vec<usize> {
     let many = ((part * of.len() as f64).round() as usize).clamp(1.min(of.len()), of.len());
-    let chance = &mut world.trouble_chance[n];
+    let random = &mut world.trouble_random[n];
     while of.len() > many {
-        let out = chance.index(of.len());
+        let out = random.index(of.len());
         of.remove(out);
     }
     of
@@ -100,23 +100,23 @@
         trouble.zone.as_ref().and_then(|z| world.experiment.fleet.zones.iter().position(|name| name == z));
     let of =
         (0..world.nodes.len()).filter(|node| zone.is_none_or(|z| world.nodes[*node].zone == z)).collect();
-    let hit = choose(world, n, trouble.fraction, of);
-    world.hit.insert(n, hit.clone());
-    hit
+    let affected = choose(world, n, trouble.fraction, of);
+    world.affected.insert(n, affected.clone());
+    affected
 }
 
 fn choose_proxies(world: &mut World, trouble: &Trouble, n: usize) -> Vec<usize> {
     let zone =
         trouble.zone.as_ref().and_then(|z| world.experiment.fleet.zones.iter().position(|name| name == z));
     let of = (0..world.proxies.len()).filter(|p| zone.is_none_or(|z| world.proxies[*p].zone == z)).collect();
-    let hit = choose(world, n, trouble.fraction, of);
-    world.hit.insert(n, hit.clone());
-    hit
+    let affected = choose(world, n, trouble.fraction, of);
+    world.affected.insert(n, affected.clone());
+    affected
 }
 
 /// Those whose turn it is at this stage, where they are hit some at a time.
 fn turn(world: &World, trouble: &Trouble, n: usize, stage: u32) -> Vec<usize> {
-    let all = world.hit.get(&n).map_or(&[][..], Vec::as_slice);
+    let all = world.affected.get(&n).map_or(&[][..], Vec::as_slice);
     all.chunks(trouble.at_a_time).nth(stage as usize).unwrap_or(&[]).to_vec()
 }
 
@@ -133,7 +133,7 @@
 
 /// When the next turn comes, with all of them within the time that the trouble lasts.
 fn next_turn(world: &World, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
-    let turns = world.hit.get(&n).map_or(0, |all| all.len().div_ceil(trouble.at_a_time));
+    let turns = world.affected.get(&n).map_or(0, |all| all.len().div_ceil(trouble.at_a_time));
     let next = stage as usize + 1;
     (next < turns).then(|| trouble.at + trouble.duration * next as f64 / turns as f64)
 }
--- a/crates/dewhead-world/src/troubles/node_restart.rs
+++ b/crates/dewhead-world/src/troubles/node_restart.rs
@@ -17,7 +17,7 @@
         }
         return Some(now + trouble.duration);
     }
-    for node in world.hit.remove(&n).unwrap_or_default() {
+    for node in world.affected.remove(&n).unwrap_or_default() {
         world.start_node(now, node);
     }
     None
--- a/crates/dewhead-world/src/troubles/reconnect.rs
+++ b/crates/dewhead-world/src/troubles/reconnect.rs
@@ -15,7 +15,7 @@
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     for client in world.standing_clients() {
-        if world.trouble_chance[n].bernoulli(trouble.fraction / f64::from(WAVES)) {
+        if world.trouble_random[n].bernoulli(trouble.fraction / f64::from(WAVES)) {
             world.drop_client(now, client, EndKind::Closed);
         }
     }
--- a/crates/dewhead-world/src/troubles/resets.rs
+++ b/crates/dewhead-world/src/troubles/resets.rs
@@ -17,12 +17,12 @@
     let part = trouble.fraction / f64::from(WAVES);
     let connections: Vec<ConnectionKey> = world.connections.keys().collect();
     for connection in connections {
-        if world.trouble_chance[n].bernoulli(part) {
+        if world.trouble_random[n].bernoulli(part) {
             world.drop_connection(now, connection, EndKind::Broken);
         }
     }
     for client in world.standing_clients() {
-        if world.trouble_chance[n].bernoulli(part) {
+        if world.trouble_random[n].bernoulli(part) {
             world.drop_client(now, client, EndKind::Broken);
         }
     }
--- a/crates/dewhead-world/src/troubles/restart_stop.rs
+++ b/crates/dewhead-world/src/troubles/restart_stop.rs
@@ -16,14 +16,14 @@
         choose_proxies(world, trouble, n);
     }
     // Even stages stop, odd ones start.
-    let hit = turn(world, trouble, n, stage / 2);
+    let affected = turn(world, trouble, n, stage / 2);
     if stage.is_multiple_of(2) {
-        for proxy in hit {
+        for proxy in affected {
             world.signal(now, proxy, Signal::Stop);
         }
         return Some(now + killed_after(world));
     }
-    for proxy in hit {
+    for proxy in affected {
         world.signal(now, proxy, Signal::Kill);
         world.start_proxy(now, proxy);
     }
--- a/crates/dewhead-world/src/troubles/signal_series.rs
+++ b/crates/dewhead-world/src/troubles/signal_series.rs
@@ -22,21 +22,21 @@
     let reloads = trouble.magnitude.round().max(1.0) as u32;
     let signals = reloads + ENDING.len() as u32;
     let number = stage / (signals + 1);
-    let hit = turn(world, trouble, n, number);
+    let affected = turn(world, trouble, n, number);
     let step = stage % (signals + 1);
     if step == signals {
-        for proxy in hit {
+        for proxy in affected {
             world.signal(now, proxy, Signal::Kill);
             world.start_proxy(now, proxy);
         }
         return next_turn(world, trouble, n, number);
     }
     let signal = step.checked_sub(reloads).map_or(Signal::Reload, |at| ENDING[at as usize]);
-    hit.iter().for_each(|proxy| world.signal(now, *proxy, signal));
+    affected.iter().for_each(|proxy| world.signal(now, *proxy, signal));
     if step + 1 < signals {
-        return Some(now + LONGEST_GAP * world.trouble_chance[n].uniform());
+        return Some(now + LONGEST_GAP * world.trouble_random[n].uniform());
     }
-    let first = hit
+    let first = affected
         .iter()
         .filter_map(|proxy| world.proxies[*proxy].stop_requested_at)
         .fold(f64::NEG_INFINITY, f64::max);
--- a/crates/dewhead-world/src/troubles/zone_cut.rs
+++ b/crates/dewhead-world/src/troubles/zone_cut.rs
@@ -28,6 +28,6 @@
     if stage == 0 {
         return Some(now + trouble.duration);
     }
-    world.release_held(now);
+    world.release_held_messages(now);
     None
 }
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -83,7 +83,7 @@
     /// A client that is none, in `troubles::bad_clients`.
     Misbehaving(usize),
     /// A client that was told to move, and still writes.
-    Lingering,
+    IgnoringMove,
     Front,
     Node(usize, Option<ConnectionKey>),
     Agent(usize),
@@ -92,30 +92,30 @@
 /// What travels.
 #[derive(Debug)]
 pub(crate) enum Message {
-    Open,
-    Answer(bool),
+    Connect,
+    ConnectResult(bool),
     Bytes(Bytes),
     End(EndKind),
 }
 
 pub(crate) struct Link {
     pub proxy: usize,
-    pub far: Peer,
+    pub peer: Peer,
     pub latency: f64,
     /// When the last thing sent arrives, by direction, so that nothing overtakes.
-    toward: f64,
-    from: f64,
+    to_proxy_at: f64,
+    from_proxy_at: f64,
     /// Whether the proxy's side, and the far side, have nothing more to do with it.
-    proxy_gone: bool,
-    far_gone: bool,
+    proxy_closed: bool,
+    peer_closed: bool,
     /// Told to the proxy's host: from then on it knows the link.
-    shown: bool,
+    known_to_host: bool,
 }
 
 impl Link {
     /// Whether one side or the other has nothing more to do with it.
-    pub fn is_over(&self) -> bool {
-        self.proxy_gone || self.far_gone
+    pub fn is_half_closed(&self) -> bool {
+        self.proxy_closed || self.peer_closed
     }
 }
 
@@ -140,28 +140,28 @@
 pub(crate) enum Event {
     Arrival,
     Client(ClientKey, u32),
-    Linger(LinkKey),
-    Toward(LinkKey, Message),
-    From(LinkKey, Message),
+    WriteAfterMove(LinkKey),
+    ToProxy(LinkKey, Message),
+    FromProxy(LinkKey, Message),
     /// A set-up at this node may be done; the number tells a newer guess from an older.
-    SetUp(usize, u32),
+    SetupDone(usize, u32),
     LoadChange(ConnectionKey),
-    SendAway(ConnectionKey),
+    MoveClient(ConnectionKey),
     /// What is wanted of this traffic type shrinks by that worth.
-    Unwant(usize, f64),
-    Listed(u64),
+    DemandEnds(usize, f64),
+    DiscoveryUpdate(u64),
     Agent(usize, u64),
-    Beat(usize, LinkKey),
+    Heartbeat(usize, LinkKey),
     AgentCloses(usize, LinkKey),
     StartProxy(usize),
     FrontPing(usize),
-    FrontDrops(usize, u64),
+    FrontRemoves(usize, u64),
     Trouble(usize, u32),
-    Look,
+    Sample,
 }
 
 /// Nodes move on, and are looked at, this often.
-const LOOK: f64 = 0.1;
+const SAMPLE_INTERVAL: f64 = 0.1;
 /// Measuring begins once what stood before the start has been put back.
 pub const SETTLING_TIME: f64 = 6.0;
 
@@ -173,11 +173,11 @@
     pub nodes: Vec<Node<ConnectionKey>>,
     pub(crate) node_names: Vec<String>,
     /// The number of the latest guess at the next set-up's end.
-    pub(crate) guesses: Vec<u32>,
-    pub(crate) node_chance: RandomStream,
+    pub(crate) setup_estimates: Vec<u32>,
+    pub(crate) node_random: RandomStream,
     pub(crate) connections: SlotMap<ConnectionKey, Connection>,
     pub(crate) clients: SlotMap<ClientKey, Client>,
-    pub(crate) crowd: Clients,
+    pub(crate) population: Clients,
     /// Calls open, by the id they were given; one leaves with its client's next call or its client.
     pub(crate) calls: BTreeMap<u64, ClientKey>,
     pub proxies: Vec<Proxy>,
@@ -185,23 +185,23 @@
     pub(crate) discovery: Discovery,
     pub(crate) network: Network,
     /// What could not cross a cut, in order; it leaves when a cut ends.
-    held: Vec<(LinkKey, bool, Message)>,
+    held_messages: Vec<(LinkKey, bool, Message)>,
     pub service: ServiceMetrics,
     pub audit: Auditor,
-    pub(crate) trouble_chance: Vec<RandomStream>,
+    pub(crate) trouble_random: Vec<RandomStream>,
     /// What troubles keep for themselves between their stages.
-    pub(crate) hit: BTreeMap<usize, Vec<usize>>,
-    pub(crate) bad: crate::troubles::bad_clients::Crowd,
+    pub(crate) affected: BTreeMap<usize, Vec<usize>>,
+    pub(crate) misbehaving: crate::troubles::bad_clients::Crowd,
     effects: Vec<Effect>,
     digest: crc32fast::Hasher,
-    next_look: f64,
+    next_sample: f64,
 }
 
 impl World {
     pub fn new(of: &Experiment, seed: u64) -> World {
         let zones = of.fleet.zones.len();
         let mut fleet = RandomStream::new(seed, StreamPurpose::Fleet, 0);
-        let kinds = of.traffic.len();
+        let traffic_types = of.traffic.len();
         let total: f64 = of.machines.iter().map(|m| m.share).sum();
         let nodes: Vec<Node<ConnectionKey>> = (0..of.fleet.nodes)
             .map(|n| {
@@ -213,7 +213,7 @@
                 });
                 let machine = machine.unwrap_or(&of.machines[0]);
                 let cell = (n / zones / of.fleet.cell_size * zones + n % zones) as u64;
-                Node::new(machine, &of.node, n % zones, cell, kinds, &mut fleet)
+                Node::new(machine, &of.node, n % zones, cell, traffic_types, &mut fleet)
             })
             .collect();
         let node_names: Vec<String> =
@@ -227,7 +227,7 @@
                 connections: 0,
             })
             .collect();
-        let service = ServiceMetrics::new(kinds, nodes.len(), proxies.len());
+        let service = ServiceMetrics::new(traffic_types, nodes.len(), proxies.len());
         let audit = Auditor::new(of, seed, &nodes, &node_names);
         let discovery = Discovery::new(
             of,
@@ -240,36 +240,36 @@
             seed,
             queue: EventQueue::default(),
             links: SlotMap::with_key(),
-            guesses: vec![0; nodes.len()],
+            setup_estimates: vec![0; nodes.len()],
             nodes,
             node_names,
-            node_chance: RandomStream::new(seed, StreamPurpose::Node, 0),
+            node_random: RandomStream::new(seed, StreamPurpose::Node, 0),
             connections: SlotMap::with_key(),
             clients: SlotMap::with_key(),
-            crowd: Clients::new(of, seed),
+            population: Clients::new(of, seed),
             calls: BTreeMap::new(),
             front: Front::new(&proxies, zones, RandomStream::new(seed, StreamPurpose::Front, 0)),
             proxies,
             discovery,
             network: Network::new(&of.network, RandomStream::new(seed, StreamPurpose::Network, 0)),
-            held: Vec::new(),
+            held_messages: Vec::new(),
             service,
             audit,
-            trouble_chance: (0..of.troubles.len())
+            trouble_random: (0..of.troubles.len())
                 .map(|n| RandomStream::new(seed, StreamPurpose::Trouble, n as u64))
                 .collect(),
-            hit: BTreeMap::new(),
-            bad: Default::default(),
+            affected: BTreeMap::new(),
+            misbehaving: Default::default(),
             effects: Vec::new(),
             digest: crc32fast::Hasher::new(),
-            next_look: 0.0,
+            next_sample: 0.0,
             experiment: of.clone(),
         };
         for proxy in 0..world.proxies.len() {
             world.start_proxy(0.0, proxy);
         }
-        world.queue.push(0.0, Event::Look);
-        world.people(0.5);
+        world.queue.push(0.0, Event::Sample);
+        world.start_population(0.5);
         for (n, trouble) in world.experiment.troubles.iter().enumerate() {
             world.queue.push(trouble.at, Event::Trouble(n, 0));
         }
@@ -284,9 +284,9 @@
     /// Lets what is due by now happen, one thing at a time; false once nothing more is due. The effects are to be
     /// carried out after each.
     pub fn step(&mut self, now: f64) -> bool {
-        let Some((at, due)) = self.queue.pop_due(now) else { return false };
+        let Some((at, event)) = self.queue.pop_due(now) else { return false };
         // A host on sockets comes late; what happens then happens at its time, but for what is counted by the clock.
-        self.happen(at, due);
+        self.handle_event(at, event);
         true
     }
 
@@ -296,53 +296,55 @@
         std::mem::swap(into, &mut self.effects);
     }
 
-    pub(crate) fn ask(&mut self, effect: Effect) {
+    pub(crate) fn emit(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    fn happen(&mut self, now: f64, due: Event) {
-        match due {
-            Event::Arrival => self.arrival(now),
-            Event::Client(key, number) => self.client_due(now, key, number),
-            Event::Linger(link) => self.linger_on(now, link),
-            Event::Toward(key, parcel) => self.proxy_arrives(now, key, parcel),
-            Event::From(key, parcel) => self.far_arrives(now, key, parcel),
-            Event::SetUp(node, guess) => self.set_up_due(now, node, guess),
-            Event::LoadChange(key) => self.load_changes(now, key),
-            Event::SendAway(key) => self.send_away(now, key),
-            Event::Unwant(kind, worth) => self.service.change_demand(now, kind, -worth),
-            Event::Listed(change) => self.listed(now, change),
-            Event::Agent(agent, version) => self.agent_hears(now, agent, version),
-            Event::Beat(agent, link) => self.beat(now, agent, link),
-            Event::AgentCloses(agent, link) => self.agent_closes(now, agent, link),
-            Event::StartProxy(proxy) => self.ask_start(now, proxy),
+    fn handle_event(&mut self, now: f64, event: Event) {
+        match event {
+            Event::Arrival => self.add_arrival(now),
+            Event::Client(key, number) => self.on_client_timer(now, key, number),
+            Event::WriteAfterMove(link) => self.write_after_move(now, link),
+            Event::ToProxy(key, message) => self.deliver_to_proxy(now, key, message),
+            Event::FromProxy(key, message) => self.deliver_from_proxy(now, key, message),
+            Event::SetupDone(node, estimate) => self.finish_setups(now, node, estimate),
+            Event::LoadChange(key) => self.change_connection_load(now, key),
+            Event::MoveClient(key) => self.move_client(now, key),
+            Event::DemandEnds(traffic_type, revenue_rate) => {
+                self.service.change_demand(now, traffic_type, -revenue_rate)
+            }
+            Event::DiscoveryUpdate(change) => self.apply_update(now, change),
+            Event::Agent(agent, version) => self.update_agent(now, agent, version),
+            Event::Heartbeat(agent, link) => self.send_heartbeat(now, agent, link),
+            Event::AgentCloses(agent, link) => self.close_watch(now, agent, link),
+            Event::StartProxy(proxy) => self.emit_start(now, proxy),
             Event::FrontPing(proxy) => self.front_pings(now, proxy),
-            Event::FrontDrops(proxy, start) => self.front_drops(proxy, start),
+            Event::FrontRemoves(proxy, start) => self.front_removes(proxy, start),
             Event::Trouble(n, stage) => crate::troubles::stage(self, now, n, stage),
-            Event::Look => self.look(now),
+            Event::Sample => self.sample(now),
         }
     }
 
     /// A regular look at all nodes: their work moves on, and who falls over, sheds or is served well is seen.
-    fn look(&mut self, now: f64) {
-        self.queue.push(now + LOOK, Event::Look);
-        let second = now >= self.next_look;
+    fn sample(&mut self, now: f64) {
+        self.queue.push(now + SAMPLE_INTERVAL, Event::Sample);
+        let second = now >= self.next_sample;
         let mut rates = vec![0.0; self.experiment.traffic.len()];
         for n in 0..self.nodes.len() {
             self.nodes[n].advance(now);
             if matches!(self.nodes[n].state, NodeState::Up | NodeState::Draining) {
-                self.guess_set_up(now, n);
+                self.estimate_setup(now, n);
                 if self.nodes[n].check_cold_overload(now, &self.experiment.rules) {
-                    self.fall_over(now, n);
+                    self.crash_overloaded(now, n);
                 }
-                self.shed(now, n);
+                self.shed_connections(now, n);
             }
             let node = &self.nodes[n];
             if node.state != NodeState::Silent {
                 let delay = node.queueing_delay(now);
-                for (kind, worth) in node.served_revenue().iter().enumerate() {
-                    if delay <= self.experiment.traffic[kind].message_target {
-                        rates[kind] += worth;
+                for (traffic_type, revenue_rate) in node.served_revenue().iter().enumerate() {
+                    if delay <= self.experiment.traffic[traffic_type].message_target {
+                        rates[traffic_type] += revenue_rate;
                     }
                 }
             }
@@ -357,7 +359,7 @@
         }
         self.service.set_served_rates(now, &rates);
         if second {
-            self.next_look = now.floor() + 1.0;
+            self.next_sample = now.floor() + 1.0;
             for (p, proxy) in self.proxies.iter().enumerate() {
                 self.service.proxies[p].push(proxy.connections);
             }
@@ -366,22 +368,22 @@
     }
 
     /// Makes a link between a proxy and something of the world.
-    pub(crate) fn link(&mut self, proxy: usize, far: Peer, latency: f64) -> LinkKey {
+    pub(crate) fn open_link(&mut self, proxy: usize, peer: Peer, latency: f64) -> LinkKey {
         self.links.insert(Link {
             proxy,
-            far,
+            peer,
             latency,
-            toward: 0.0,
-            from: 0.0,
-            proxy_gone: false,
-            far_gone: false,
-            shown: false,
+            to_proxy_at: 0.0,
+            from_proxy_at: 0.0,
+            proxy_closed: false,
+            peer_closed: false,
+            known_to_host: false,
         })
     }
 
     /// Whether a link's two ends hear nothing of each other, and whether what is sent is lost for good.
     fn blocked(&self, link: &Link) -> Option<bool> {
-        match link.far {
+        match link.peer {
             Peer::Node(node, _) if self.nodes[node].state == NodeState::Silent => Some(true),
             Peer::Node(node, _)
                 if self.network.is_cut(self.proxies[link.proxy].zone, self.nodes[node].zone) =>
@@ -393,67 +395,68 @@
     }
 
     /// Sends something on a link: toward the proxy, or from it.
-    pub(crate) fn post(&mut self, now: f64, key: LinkKey, toward: bool, parcel: Message) {
+    pub(crate) fn send(&mut self, now: f64, key: LinkKey, to_proxy: bool, message: Message) {
         let Some(link) = self.links.get(key) else { return };
         match self.blocked(link) {
             Some(true) => return,
             Some(false) => {
                 // A connect that is not answered is not made later either.
-                if !matches!(parcel, Message::Open | Message::Answer(_)) {
-                    self.held.push((key, toward, parcel));
+                if !matches!(message, Message::Connect | Message::ConnectResult(_)) {
+                    self.held_messages.push((key, to_proxy, message));
                 }
                 return;
             }
             None => {}
         }
         let takes = self.network.transit_time(link.latency);
-        if let Message::Bytes(bytes) = &parcel {
+        if let Message::Bytes(bytes) = &message {
             if let Some(at) = self.network.split_point(bytes.len()) {
                 let (first, rest) = (Bytes::from_slice(&bytes[..at]), Bytes::from_slice(&bytes[at..]));
                 let late = self.network.transit_time(link.latency);
-                self.put_parcel(now, key, toward, takes, Message::Bytes(first));
-                return self.put_parcel(now, key, toward, takes + late, Message::Bytes(rest));
+                self.schedule_message(now, key, to_proxy, takes, Message::Bytes(first));
+                return self.schedule_message(now, key, to_proxy, takes + late, Message::Bytes(rest));
             }
         }
-        self.put_parcel(now, key, toward, takes, parcel);
+        self.schedule_message(now, key, to_proxy, takes, message);
     }
 
-    fn put_parcel(&mut self, now: f64, key: LinkKey, toward: bool, takes: f64, parcel: Message) {
+    fn schedule_message(&mut self, now: f64, key: LinkKey, to_proxy: bool, takes: f64, message: Message) {
         let Some(link) = self.links.get_mut(key) else { return };
-        let last = if toward { &mut link.toward } else { &mut link.from };
+        let last = if to_proxy { &mut link.to_proxy_at } else { &mut link.from_proxy_at };
         let at = (now + takes).max(*last);
         *last = at;
-        self.queue.push(at, if toward { Event::Toward(key, parcel) } else { Event::From(key, parcel) });
+        self.queue
+            .push(at, if to_proxy { Event::ToProxy(key, message) } else { Event::FromProxy(key, message) });
     }
 
     /// A cut has ended: what waited crosses, in its order.
-    pub(crate) fn release_held(&mut self, now: f64) {
-        for (key, toward, parcel) in std::mem::take(&mut self.held) {
-            self.post(now, key, toward, parcel);
+    pub(crate) fn release_held_messages(&mut self, now: f64) {
+        for (key, to_proxy, message) in std::mem::take(&mut self.held_messages) {
+            self.send(now, key, to_proxy, message);
         }
     }
 
-    pub(crate) fn say(&mut self, now: f64, key: LinkKey, text: &[u8]) {
-        self.post(now, key, true, Message::Bytes(Bytes::from_slice(text)));
+    pub(crate) fn send_bytes(&mut self, now: f64, key: LinkKey, text: &[u8]) {
+        self.send(now, key, true, Message::Bytes(Bytes::from_slice(text)));
     }
 
     /// The far side has nothing more to do with the link.
-    pub(crate) fn leave(&mut self, now: f64, key: LinkKey, how: EndKind) {
+    pub(crate) fn close_from_peer(&mut self, now: f64, key: LinkKey, end_kind: EndKind) {
         if let Some(link) = self.links.get_mut(key) {
-            if !std::mem::replace(&mut link.far_gone, true) {
-                self.post(now, key, true, Message::End(how));
+            if !std::mem::replace(&mut link.peer_closed, true) {
+                self.send(now, key, true, Message::End(end_kind));
             }
-            self.tidy(key);
+            self.remove_closed_link(key);
         }
     }
 
-    fn tidy(&mut self, key: LinkKey) {
-        if self.links.get(key).is_some_and(|l| l.proxy_gone && l.far_gone) {
+    fn remove_closed_link(&mut self, key: LinkKey) {
+        if self.links.get(key).is_some_and(|l| l.proxy_closed && l.peer_closed) {
             self.links.remove(key);
         }
     }
 
-    fn note(&mut self, now: f64, what: u8, proxy: usize, bytes: &[u8]) {
+    fn update_digest(&mut self, now: f64, what: u8, proxy: usize, bytes: &[u8]) {
         self.digest.update(&now.to_bits().to_le_bytes());
         self.digest.update(&[what, proxy as u8, (proxy >> 8) as u8]);
         self.digest.update(bytes);
@@ -464,26 +467,26 @@
         self.digest.clone().finalize()
     }
 
-    fn proxy_arrives(&mut self, now: f64, key: LinkKey, parcel: Message) {
+    fn deliver_to_proxy(&mut self, now: f64, key: LinkKey, message: Message) {
         let Some(link) = self.links.get_mut(key) else { return };
-        let (proxy, far) = (link.proxy, link.far);
-        if link.proxy_gone {
+        let (proxy, peer) = (link.proxy, link.peer);
+        if link.proxy_closed {
             return;
         }
-        match parcel {
-            Message::Open => {
+        match message {
+            Message::Connect => {
                 if !self.proxies[proxy].listening {
                     // Nobody listens there.
-                    link.proxy_gone = true;
-                    return self.post(now, key, false, Message::Answer(false));
+                    link.proxy_closed = true;
+                    return self.send(now, key, false, Message::ConnectResult(false));
                 }
-                link.shown = true;
-                self.note(now, 1, proxy, &[]);
-                self.audit.on_connected(now, key, proxy, far);
+                link.known_to_host = true;
+                self.update_digest(now, 1, proxy, &[]);
+                self.audit.on_connected(now, key, proxy, peer);
                 self.effects.push(Effect::Connect(key, proxy));
             }
-            Message::Answer(up) => {
-                self.note(now, 2, proxy, &[up as u8]);
+            Message::ConnectResult(up) => {
+                self.update_digest(now, 2, proxy, &[up as u8]);
                 if !up {
                     self.links.remove(key);
                     self.audit.on_refused(now, key);
@@ -491,40 +494,40 @@
                 self.effects.push(if up { Effect::Established(key) } else { Effect::Refused(key) });
             }
             Message::Bytes(bytes) => {
-                if !link.shown {
+                if !link.known_to_host {
                     return;
                 }
-                self.note(now, 3, proxy, &bytes);
+                self.update_digest(now, 3, proxy, &bytes);
                 self.audit.on_bytes_received(now, key, proxy, &bytes);
                 self.effects.push(Effect::Bytes(key, bytes));
             }
-            Message::End(how) => {
-                if !link.shown {
+            Message::End(end_kind) => {
+                if !link.known_to_host {
                     return;
                 }
-                self.note(now, 4, proxy, &[how as u8]);
-                self.audit.on_peer_end(now, key, how);
-                self.effects.push(Effect::End(key, how));
+                self.update_digest(now, 4, proxy, &[end_kind as u8]);
+                self.audit.on_peer_end(now, key, end_kind);
+                self.effects.push(Effect::End(key, end_kind));
             }
         }
     }
 
-    fn far_arrives(&mut self, now: f64, key: LinkKey, parcel: Message) {
+    fn deliver_from_proxy(&mut self, now: f64, key: LinkKey, message: Message) {
         let Some(link) = self.links.get(key) else { return };
-        if link.far_gone {
+        if link.peer_closed {
             return;
         }
-        match link.far {
-            Peer::Client(client) => self.client_gets(now, client, key, parcel),
-            Peer::Misbehaving(n) => crate::troubles::bad_clients::gets(self, now, n, key, parcel),
+        match link.peer {
+            Peer::Client(client) => self.client_receives(now, client, key, message),
+            Peer::Misbehaving(n) => crate::troubles::bad_clients::receive(self, now, n, key, message),
             // It goes once nobody is there to write to.
-            Peer::Lingering if matches!(parcel, Message::End(EndKind::Closed | EndKind::Broken)) => {
-                self.leave(now, key, EndKind::Closed);
+            Peer::IgnoringMove if matches!(message, Message::End(EndKind::Closed | EndKind::Broken)) => {
+                self.close_from_peer(now, key, EndKind::Closed);
             }
-            Peer::Lingering => {}
-            Peer::Front => self.front_gets(now, key, parcel),
-            Peer::Node(node, at) => self.node_gets(now, node, at, key, parcel),
-            Peer::Agent(agent) => self.agent_gets(now, agent, key, parcel),
+            Peer::IgnoringMove => {}
+            Peer::Front => self.front_receives(now, key, message),
+            Peer::Node(node, at) => self.node_receives(now, node, at, key, message),
+            Peer::Agent(agent) => self.agent_receives(now, agent, key, message),
         }
     }
 
@@ -532,20 +535,20 @@
 
     /// A proxy begins to connect.
     pub fn on_dial(&mut self, now: f64, proxy: usize, to: Target) -> LinkKey {
-        let (far, latency) = match to {
+        let (peer, latency) = match to {
             Target::Node(node) => {
                 let latency = self.network.latency_between(self.proxies[proxy].zone, self.nodes[node].zone);
                 (Peer::Node(node, None), latency)
             }
             Target::Agent(address) => (Peer::Agent(address), 1e-5),
         };
-        let key = self.link(proxy, far, latency);
-        self.links[key].shown = true;
-        self.note(now, 5, proxy, &[]);
-        if let Peer::Node(node, _) = far {
+        let key = self.open_link(proxy, peer, latency);
+        self.links[key].known_to_host = true;
+        self.update_digest(now, 5, proxy, &[]);
+        if let Peer::Node(node, _) = peer {
             self.audit.on_dial(now, key, proxy, node);
         }
-        self.post(now, key, false, Message::Open);
+        self.send(now, key, false, Message::Connect);
         key
     }
 
@@ -553,31 +556,31 @@
     pub fn on_bytes(&mut self, now: f64, key: LinkKey, bytes: &[u8]) {
         let Some(link) = self.links.get(key) else { return };
         let proxy = link.proxy;
-        self.note(now, 6, proxy, bytes);
+        self.update_digest(now, 6, proxy, bytes);
         self.audit.on_bytes_sent(now, key, proxy, bytes);
-        self.post(now, key, false, Message::Bytes(Bytes::from_slice(bytes)));
+        self.send(now, key, false, Message::Bytes(Bytes::from_slice(bytes)));
     }
 
     /// A proxy has ended its side.
-    pub fn on_end(&mut self, now: f64, key: LinkKey, how: EndKind) {
+    pub fn on_end(&mut self, now: f64, key: LinkKey, end_kind: EndKind) {
         let Some(link) = self.links.get_mut(key) else { return };
         let proxy = link.proxy;
-        if how != EndKind::Finished {
-            link.proxy_gone = true;
+        if end_kind != EndKind::Finished {
+            link.proxy_closed = true;
         }
-        self.note(now, 7, proxy, &[how as u8]);
-        self.audit.on_proxy_end(now, key, how);
+        self.update_digest(now, 7, proxy, &[end_kind as u8]);
+        self.audit.on_proxy_end(now, key, end_kind);
         // A machine that has vanished never hears of it; what it holds it gives back when it starts anew.
-        if let Peer::Node(node, None) = self.links[key].far {
-            self.links[key].far_gone |= self.nodes[node].state == NodeState::Silent;
+        if let Peer::Node(node, None) = self.links[key].peer {
+            self.links[key].peer_closed |= self.nodes[node].state == NodeState::Silent;
         }
-        self.post(now, key, false, Message::End(how));
-        self.tidy(key);
+        self.send(now, key, false, Message::End(end_kind));
+        self.remove_closed_link(key);
     }
 
     /// A proxy's process listens.
     pub fn on_listening(&mut self, now: f64, proxy: usize) {
-        self.note(now, 8, proxy, &[]);
+        self.update_digest(now, 8, proxy, &[]);
         self.proxies[proxy].listening = true;
         self.proxies[proxy].stop_requested_at = None;
         self.audit.on_proxy_start(now, proxy);
@@ -587,41 +590,41 @@
 
     /// The process that serves is gone; one that retires still holds connections.
     pub fn on_listener_closed(&mut self, now: f64, proxy: usize) {
-        self.note(now, 10, proxy, &[]);
+        self.update_digest(now, 10, proxy, &[]);
         self.proxies[proxy].listening = false;
         self.service.annotate(now, format!("proxy {proxy} listens no more"));
-        self.front_loses(now, proxy);
+        self.front_notices_exit(now, proxy);
     }
 
     /// All of a proxy's processes are gone, by themselves or not; what they held is reset.
     pub fn on_exit(&mut self, now: f64, proxy: usize) {
-        self.note(now, 9, proxy, &[]);
+        self.update_digest(now, 9, proxy, &[]);
         let listened = std::mem::replace(&mut self.proxies[proxy].listening, false);
         self.audit.on_proxy_exit(now, proxy);
         self.service.annotate(now, format!("proxy {proxy} is gone"));
         let lost: Vec<LinkKey> = self
             .links
             .iter()
-            .filter(|(_, l)| l.proxy == proxy && !l.proxy_gone && l.shown)
+            .filter(|(_, l)| l.proxy == proxy && !l.proxy_closed && l.known_to_host)
             .map(|(k, _)| k)
             .collect();
         for key in lost {
-            self.links[key].proxy_gone = true;
-            self.post(now, key, false, Message::End(EndKind::Broken));
-            self.tidy(key);
+            self.links[key].proxy_closed = true;
+            self.send(now, key, false, Message::End(EndKind::Broken));
+            self.remove_closed_link(key);
         }
         if listened {
-            self.front_loses(now, proxy);
+            self.front_notices_exit(now, proxy);
         }
     }
 
     pub(crate) fn start_proxy(&mut self, now: f64, proxy: usize) {
-        let mut chance = RandomStream::new(
+        let mut random = RandomStream::new(
             self.seed,
             StreamPurpose::Proxy,
             (proxy as u64) << 16 | self.proxies[proxy].start_count,
         );
-        let at = if now > 0.0 { now + chance.uniform_in(self.experiment.proxy.start_delay) } else { 0.0 };
+        let at = if now > 0.0 { now + random.uniform_in(self.experiment.proxy.start_delay) } else { 0.0 };
         self.proxies[proxy].start_count += 1;
         self.queue.push(at, Event::StartProxy(proxy));
     }
@@ -635,8 +638,8 @@
         }
     }
 
-    fn ask_start(&mut self, _now: f64, proxy: usize) {
-        let known = self.discovery.remembered(proxy);
+    fn emit_start(&mut self, _now: f64, proxy: usize) {
+        let known = self.discovery.last_list(proxy);
         self.effects.push(Effect::Start(proxy, known));
     }
 
@@ -672,7 +675,7 @@
 
     /// Nobody new comes from now on.
     pub fn stop_arrivals(&mut self) {
-        self.crowd.open = false;
+        self.population.open = false;
     }
 
     /// Links open, for tests that nothing is left over.
