--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -1,6 +1,6 @@
-//! The world itself: links and what travels on them, the queue of what is to happen, and the doors through which a host
-//! tells what proxies do and learns what reaches them. Who stands at the far end of a link is in `clients`, `serving`,
-//! `discovery` and `front`.
+//! The world: its links with the messages in transit, the event queue, and the interface through which a host
+//! reports the actions of proxies and receives what reaches them. The remote ends of links are implemented in
+//! `clients`, `node_connections`, `discovery` and `front`.
 
 use crate::audit::Auditor;
 use crate::clients::{Client, Clients};
@@ -19,135 +19,158 @@
 use std::collections::BTreeMap;
 
 new_key_type! {
-    /// A connection between a proxy and something else in the world.
+    /// A connection between a proxy and another participant of the world.
     pub struct LinkKey;
+    /// A client.
     pub struct ClientKey;
+    /// A connection as its node holds it.
     pub struct ConnectionKey;
 }
 
-/// Bytes on their way; a line mostly fits without memory of its own.
+/// A byte string in transit; most lines fit without an allocation.
 pub type Bytes = SmallVec<[u8; 32]>;
 
 /// How one side of a link ends.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EndKind {
-    /// No more is sent; what comes is still read.
+    /// Nothing more is sent; incoming bytes are still read.
     Finished,
+    /// Closed in both directions.
     Closed,
+    /// Reset.
     Broken,
 }
 
+/// A signal to the processes of a proxy.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Signal {
-    /// SIGTERM to the process that serves, as a supervisor sends it that follows the main process.
+    /// SIGTERM to the serving process, as from a supervisor that tracks the main process.
     Stop,
-    /// SIGTERM to that process and to all that retire, as one sends it that signals the whole group.
+    /// SIGTERM to the serving process and to all retiring ones, as from a supervisor that signals the whole
+    /// group.
     StopGroup,
-    /// SIGHUP, with the configuration as it was.
+    /// SIGHUP, with the configuration unchanged.
     Reload,
     /// SIGKILL to all processes.
     Kill,
 }
 
-/// What a proxy dials.
+/// The destination of a connection that a proxy opens.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Target {
+    /// The node of this index.
     Node(usize),
-    /// Discovery's agent of this proxy, at the so-many-th of its addresses.
+    /// The discovery agent of this proxy, at the address of this index.
     Agent(usize),
 }
 
-/// What reaches proxies, for the host to carry out.
+/// An action that the host carries out on a proxy.
 #[derive(Debug)]
 pub enum Effect {
-    /// Somebody connects to this proxy.
+    /// Someone connects to the proxy of this index.
     Connect(LinkKey, usize),
-    /// A link that the proxy dialled has come up, or is refused.
+    /// A connection opened by the proxy is established, or refused.
     Established(LinkKey),
     Refused(LinkKey),
+    /// Bytes arrive at the proxy.
     Bytes(LinkKey, Bytes),
+    /// The remote side of a link ends.
     End(LinkKey, EndKind),
-    /// Start this proxy's process; it knows the list as it last had it.
+    /// Start this proxy's process with the node list that it last had.
     Start(usize, Value),
+    /// Send a signal to this proxy's processes.
     Signal(usize, Signal),
-    /// A new process takes this proxy's place, and the old one's clients leave over so many seconds.
+    /// Start a new process that takes over from this proxy's process; the old one sends its clients away over
+    /// this many seconds.
     Handover(usize, f64),
-    /// Its configuration names another address of discovery, the so-many-th, and it gets SIGHUP.
+    /// Send SIGHUP to this proxy, with a configuration that names the discovery address of this index.
     Reconfigure(usize, usize),
 }
 
-/// Who is at the far end of a link.
+/// The remote end of a link.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Peer {
     Client(ClientKey),
-    /// A client that is none, in `troubles::bad_clients`.
+    /// A client that sends no valid request, in `troubles::bad_clients`.
     Misbehaving(usize),
-    /// A client that was told to move, and still writes.
+    /// A client that has received `MOVE` and still writes.
     IgnoringMove,
+    /// The front layer.
     Front,
+    /// A node, and its connection once accepted.
     Node(usize, Option<ConnectionKey>),
+    /// The discovery agent, at the address of this index.
     Agent(usize),
 }
 
-/// What travels.
+/// What a link carries.
 #[derive(Debug)]
 pub(crate) enum Message {
+    /// A connection request.
     Connect,
+    /// Whether the connection request was accepted.
     ConnectResult(bool),
     Bytes(Bytes),
     End(EndKind),
 }
 
+/// The state of a link.
 pub(crate) struct Link {
     pub proxy: usize,
     pub peer: Peer,
     pub latency: f64,
-    /// When the last thing sent arrives, by direction, so that nothing overtakes.
+    /// The arrival time of the last message in each direction. Later messages arrive no earlier, so that
+    /// order is kept.
     to_proxy_at: f64,
     from_proxy_at: f64,
-    /// Whether the proxy's side, and the far side, have nothing more to do with it.
+    /// Whether the proxy, or the remote side, has closed the link.
     proxy_closed: bool,
     peer_closed: bool,
-    /// Told to the proxy's host: from then on it knows the link.
+    /// Whether the proxy's host has been told of the link.
     known_to_host: bool,
 }
 
 impl Link {
-    /// Whether one side or the other has nothing more to do with it.
+    /// Whether at least one side has closed the link.
     pub fn is_half_closed(&self) -> bool {
         self.proxy_closed || self.peer_closed
     }
 }
 
-/// A proxy as the world sees it: a process that runs or not.
+/// The processes of a proxy, as seen by the world.
 pub struct Proxy {
+    /// The zone of the proxy.
     pub zone: usize,
+    /// Whether a process listens for clients.
     pub listening: bool,
-    /// Processes started so far.
+    /// The number of processes started so far.
     pub start_count: u64,
-    /// When it was told to stop, while its processes have not started anew.
+    /// When the proxy was told to stop, until it starts again.
     pub stop_requested_at: Option<f64>,
+    /// The number of client connections.
     pub connections: u32,
 }
 
 impl Proxy {
-    /// Whether it has been told to stop, and has not started anew.
+    /// Whether the proxy has been told to stop and has not started again.
     pub fn is_stopping(&self) -> bool {
         self.stop_requested_at.is_some()
     }
 }
 
+/// A scheduled event.
 pub(crate) enum Event {
     Arrival,
     Client(ClientKey, u32),
     WriteAfterMove(LinkKey),
     ToProxy(LinkKey, Message),
     FromProxy(LinkKey, Message),
-    /// A set-up at this node may be done; the number tells a newer guess from an older.
+    /// A connection setup at this node may be finished. The number identifies the estimate, so that outdated
+    /// ones are ignored.
     SetupDone(usize, u32),
     LoadChange(ConnectionKey),
     MoveClient(ConnectionKey),
-    /// What is wanted of this traffic type shrinks by that worth.
+    /// The demand of this traffic type falls by this revenue rate.
     DemandEnds(usize, f64),
     DiscoveryUpdate(u64),
     Agent(usize, u64),
@@ -160,36 +183,43 @@
     Sample,
 }
 
-/// Nodes move on, and are looked at, this often.
+/// Interval at which all nodes are advanced and sampled, in seconds.
 const SAMPLE_INTERVAL: f64 = 0.1;
-/// Measuring begins once what stood before the start has been put back.
+/// Start of the measurement, in seconds, once the connections of a running service have been restored.
 pub const SETTLING_TIME: f64 = 6.0;
 
+/// The state of a simulated world.
 pub struct World {
+    /// The experiment being run.
     pub experiment: Experiment,
+    /// The seed of all random streams.
     pub seed: u64,
     pub(crate) queue: EventQueue<Event>,
     pub(crate) links: SlotMap<LinkKey, Link>,
+    /// The nodes, by index.
     pub nodes: Vec<Node<ConnectionKey>>,
     pub(crate) node_names: Vec<String>,
-    /// The number of the latest guess at the next set-up's end.
+    /// By node: the number of the latest estimate of the next finished setup.
     pub(crate) setup_estimates: Vec<u32>,
     pub(crate) node_random: RandomStream,
     pub(crate) connections: SlotMap<ConnectionKey, Connection>,
     pub(crate) clients: SlotMap<ClientKey, Client>,
     pub(crate) population: Clients,
-    /// Calls open, by the id they were given; one leaves with its client's next call or its client.
+    /// Open calls by id. A call is removed with its client, or when its client makes another call.
     pub(crate) calls: BTreeMap<u64, ClientKey>,
+    /// The proxies, by index.
     pub proxies: Vec<Proxy>,
     pub(crate) front: Front,
     pub(crate) discovery: Discovery,
     pub(crate) network: Network,
-    /// What could not cross a cut, in order; it leaves when a cut ends.
+    /// Messages that could not cross a zone cut, in order. They are sent when a cut ends.
     held_messages: Vec<(LinkKey, bool, Message)>,
+    /// The measurements of the service.
     pub service: ServiceMetrics,
+    /// The checks of the proxies' rules.
     pub audit: Auditor,
     pub(crate) trouble_random: Vec<RandomStream>,
-    /// What troubles keep for themselves between their stages.
+    /// By trouble: the nodes or proxies affected, kept between its stages.
     pub(crate) affected: BTreeMap<usize, Vec<usize>>,
     pub(crate) misbehaving: crate::troubles::bad_clients::Crowd,
     effects: Vec<Effect>,
@@ -198,27 +228,29 @@
 }
 
 impl World {
-    pub fn new(of: &Experiment, seed: u64) -> World {
-        let zones = of.fleet.zones.len();
-        let mut fleet = RandomStream::new(seed, StreamPurpose::Fleet, 0);
-        let traffic_types = of.traffic.len();
-        let total: f64 = of.machines.iter().map(|m| m.share).sum();
-        let nodes: Vec<Node<ConnectionKey>> = (0..of.fleet.nodes)
+    /// Creates the world of an experiment and schedules its first events.
+    pub fn new(experiment: &Experiment, seed: u64) -> World {
+        let zones = experiment.fleet.zones.len();
+        let mut fleet_random = RandomStream::new(seed, StreamPurpose::Fleet, 0);
+        let traffic_types = experiment.traffic.len();
+        let total_share: f64 = experiment.machines.iter().map(|m| m.share).sum();
+        let nodes: Vec<Node<ConnectionKey>> = (0..experiment.fleet.nodes)
             .map(|n| {
-                // By share and in turn, so that small fleets have each kind too.
-                let mut place = (n as f64 + 0.5) / of.fleet.nodes as f64 * total;
-                let machine = of.machines.iter().find(|m| {
-                    place -= m.share;
-                    place < 0.0
+                // Machine types are assigned by share in index order, so that small fleets contain every
+                // type.
+                let mut position = (n as f64 + 0.5) / experiment.fleet.nodes as f64 * total_share;
+                let machine = experiment.machines.iter().find(|m| {
+                    position -= m.share;
+                    position < 0.0
                 });
-                let machine = machine.unwrap_or(&of.machines[0]);
-                let cell = (n / zones / of.fleet.cell_size * zones + n % zones) as u64;
-                Node::new(machine, &of.node, n % zones, cell, traffic_types, &mut fleet)
+                let machine = machine.unwrap_or(&experiment.machines[0]);
+                let cell = (n / zones / experiment.fleet.cell_size * zones + n % zones) as u64;
+                Node::new(machine, &experiment.node, n % zones, cell, traffic_types, &mut fleet_random)
             })
             .collect();
         let node_names: Vec<String> =
-            (0..nodes.len()).map(|_| format!("n-{:08x}", fleet.next_u64() as u32)).collect();
-        let proxies: Vec<Proxy> = (0..of.fleet.proxies)
+            (0..nodes.len()).map(|_| format!("n-{:08x}", fleet_random.next_u64() as u32)).collect();
+        let proxies: Vec<Proxy> = (0..experiment.fleet.proxies)
             .map(|p| Proxy {
                 zone: p % zones,
                 listening: false,
@@ -228,9 +260,9 @@
             })
             .collect();
         let service = ServiceMetrics::new(traffic_types, nodes.len(), proxies.len());
-        let audit = Auditor::new(of, seed, &nodes, &node_names);
+        let audit = Auditor::new(experiment, seed, &nodes, &node_names);
         let discovery = Discovery::new(
-            of,
+            experiment,
             &nodes,
             &node_names,
             proxies.len(),
@@ -246,16 +278,16 @@
             node_random: RandomStream::new(seed, StreamPurpose::Node, 0),
             connections: SlotMap::with_key(),
             clients: SlotMap::with_key(),
-            population: Clients::new(of, seed),
+            population: Clients::new(experiment, seed),
             calls: BTreeMap::new(),
             front: Front::new(&proxies, zones, RandomStream::new(seed, StreamPurpose::Front, 0)),
             proxies,
             discovery,
-            network: Network::new(&of.network, RandomStream::new(seed, StreamPurpose::Network, 0)),
+            network: Network::new(&experiment.network, RandomStream::new(seed, StreamPurpose::Network, 0)),
             held_messages: Vec::new(),
             service,
             audit,
-            trouble_random: (0..of.troubles.len())
+            trouble_random: (0..experiment.troubles.len())
                 .map(|n| RandomStream::new(seed, StreamPurpose::Trouble, n as u64))
                 .collect(),
             affected: BTreeMap::new(),
@@ -263,7 +295,7 @@
             effects: Vec::new(),
             digest: crc32fast::Hasher::new(),
             next_sample: 0.0,
-            experiment: of.clone(),
+            experiment: experiment.clone(),
         };
         for proxy in 0..world.proxies.len() {
             world.start_proxy(0.0, proxy);
@@ -276,21 +308,23 @@
         world
     }
 
-    /// When something happens next.
+    /// The time of the next scheduled event.
     pub fn next_event_time(&self) -> Option<f64> {
         self.queue.next_time()
     }
 
-    /// Lets what is due by now happen, one thing at a time; false once nothing more is due. The effects are to be
-    /// carried out after each.
+    /// Handles the next event due by `now`; returns false if there is none. The host must carry out the
+    /// effects after each step.
     pub fn step(&mut self, now: f64) -> bool {
         let Some((at, event)) = self.queue.pop_due(now) else { return false };
-        // A host on sockets comes late; what happens then happens at its time, but for what is counted by the clock.
+        // A host on sockets runs late. The event is handled at its scheduled time; only what the host reports
+        // has the time of the clock.
         self.handle_event(at, event);
         true
     }
 
-    /// What is to be carried out, in order; `into` is emptied first, so that one buffer serves a whole run.
+    /// Moves the pending effects to `into`, in order. `into` is cleared first, so that one buffer serves a
+    /// whole run.
     pub fn take_effects(&mut self, into: &mut Vec<Effect>) {
         into.clear();
         std::mem::swap(into, &mut self.effects);
@@ -325,10 +359,11 @@
         }
     }
 
-    /// A regular look at all nodes: their work moves on, and who falls over, sheds or is served well is seen.
+    /// Advances all nodes and samples them: detects overloaded cold nodes, sheds connections and measures the
+    /// revenue served.
     fn sample(&mut self, now: f64) {
         self.queue.push(now + SAMPLE_INTERVAL, Event::Sample);
-        let second = now >= self.next_sample;
+        let store_sample = now >= self.next_sample;
         let mut rates = vec![0.0; self.experiment.traffic.len()];
         for n in 0..self.nodes.len() {
             self.nodes[n].advance(now);
@@ -348,17 +383,17 @@
                     }
                 }
             }
-            if second {
-                let able = if matches!(node.state, NodeState::Dead | NodeState::Silent) {
+            if store_sample {
+                let capacity = if matches!(node.state, NodeState::Dead | NodeState::Silent) {
                     0.0
                 } else {
                     node.capacity(now)
                 };
-                self.service.nodes[n].push((node.load() as f32, able as f32, node.connections as u32));
+                self.service.nodes[n].push((node.load() as f32, capacity as f32, node.connections as u32));
             }
         }
         self.service.set_served_rates(now, &rates);
-        if second {
+        if store_sample {
             self.next_sample = now.floor() + 1.0;
             for (p, proxy) in self.proxies.iter().enumerate() {
                 self.service.proxies[p].push(proxy.connections);
@@ -367,7 +402,7 @@
         self.audit.check_deadlines(now);
     }
 
-    /// Makes a link between a proxy and something of the world.
+    /// Creates a link between a proxy and another participant.
     pub(crate) fn open_link(&mut self, proxy: usize, peer: Peer, latency: f64) -> LinkKey {
         self.links.insert(Link {
             proxy,
@@ -381,7 +416,8 @@
         })
     }
 
-    /// Whether a link's two ends hear nothing of each other, and whether what is sent is lost for good.
+    /// Whether a link is blocked: `Some(true)` if messages are lost, `Some(false)` if they are held until a
+    /// zone cut ends.
     fn blocked(&self, link: &Link) -> Option<bool> {
         match link.peer {
             Peer::Node(node, _) if self.nodes[node].state == NodeState::Silent => Some(true),
@@ -394,13 +430,13 @@
         }
     }
 
-    /// Sends something on a link: toward the proxy, or from it.
+    /// Sends a message on a link, to the proxy or from it.
     pub(crate) fn send(&mut self, now: f64, key: LinkKey, to_proxy: bool, message: Message) {
         let Some(link) = self.links.get(key) else { return };
         match self.blocked(link) {
             Some(true) => return,
             Some(false) => {
-                // A connect that is not answered is not made later either.
+                // Connection requests are not repeated after a cut; they remain unanswered.
                 if !matches!(message, Message::Connect | Message::ConnectResult(_)) {
                     self.held_messages.push((key, to_proxy, message));
                 }
@@ -408,39 +444,41 @@
             }
             None => {}
         }
-        let takes = self.network.transit_time(link.latency);
+        let delay = self.network.transit_time(link.latency);
         if let Message::Bytes(bytes) = &message {
-            if let Some(at) = self.network.split_point(bytes.len()) {
-                let (first, rest) = (Bytes::from_slice(&bytes[..at]), Bytes::from_slice(&bytes[at..]));
-                let late = self.network.transit_time(link.latency);
-                self.schedule_message(now, key, to_proxy, takes, Message::Bytes(first));
-                return self.schedule_message(now, key, to_proxy, takes + late, Message::Bytes(rest));
+            if let Some(split_at) = self.network.split_point(bytes.len()) {
+                let (first, rest) =
+                    (Bytes::from_slice(&bytes[..split_at]), Bytes::from_slice(&bytes[split_at..]));
+                let second_delay = self.network.transit_time(link.latency);
+                self.schedule_message(now, key, to_proxy, delay, Message::Bytes(first));
+                return self.schedule_message(now, key, to_proxy, delay + second_delay, Message::Bytes(rest));
             }
         }
-        self.schedule_message(now, key, to_proxy, takes, message);
+        self.schedule_message(now, key, to_proxy, delay, message);
     }
 
-    fn schedule_message(&mut self, now: f64, key: LinkKey, to_proxy: bool, takes: f64, message: Message) {
+    fn schedule_message(&mut self, now: f64, key: LinkKey, to_proxy: bool, delay: f64, message: Message) {
         let Some(link) = self.links.get_mut(key) else { return };
         let last = if to_proxy { &mut link.to_proxy_at } else { &mut link.from_proxy_at };
-        let at = (now + takes).max(*last);
+        let at = (now + delay).max(*last);
         *last = at;
         self.queue
             .push(at, if to_proxy { Event::ToProxy(key, message) } else { Event::FromProxy(key, message) });
     }
 
-    /// A cut has ended: what waited crosses, in its order.
+    /// Sends the messages held by a zone cut, in order, once a cut has ended.
     pub(crate) fn release_held_messages(&mut self, now: f64) {
         for (key, to_proxy, message) in std::mem::take(&mut self.held_messages) {
             self.send(now, key, to_proxy, message);
         }
     }
 
+    /// Sends bytes to the proxy.
     pub(crate) fn send_bytes(&mut self, now: f64, key: LinkKey, text: &[u8]) {
         self.send(now, key, true, Message::Bytes(Bytes::from_slice(text)));
     }
 
-    /// The far side has nothing more to do with the link.
+    /// Closes a link from the remote side.
     pub(crate) fn close_from_peer(&mut self, now: f64, key: LinkKey, end_kind: EndKind) {
         if let Some(link) = self.links.get_mut(key) {
             if !std::mem::replace(&mut link.peer_closed, true) {
@@ -456,13 +494,13 @@
         }
     }
 
-    fn update_digest(&mut self, now: f64, what: u8, proxy: usize, bytes: &[u8]) {
+    fn update_digest(&mut self, now: f64, event_code: u8, proxy: usize, bytes: &[u8]) {
         self.digest.update(&now.to_bits().to_le_bytes());
-        self.digest.update(&[what, proxy as u8, (proxy >> 8) as u8]);
+        self.digest.update(&[event_code, proxy as u8, (proxy >> 8) as u8]);
         self.digest.update(bytes);
     }
 
-    /// A figure for all that crossed the wires so far, the same for two plays that are the same.
+    /// A checksum over everything exchanged with the proxies so far; equal for identical runs.
     pub fn digest(&self) -> u32 {
         self.digest.clone().finalize()
     }
@@ -476,7 +514,7 @@
         match message {
             Message::Connect => {
                 if !self.proxies[proxy].listening {
-                    // Nobody listens there.
+                    // No process listens.
                     link.proxy_closed = true;
                     return self.send(now, key, false, Message::ConnectResult(false));
                 }
@@ -520,7 +558,7 @@
         match link.peer {
             Peer::Client(client) => self.client_receives(now, client, key, message),
             Peer::Misbehaving(n) => crate::troubles::bad_clients::receive(self, now, n, key, message),
-            // It goes once nobody is there to write to.
+            // The late writer stops once the proxy has closed its side.
             Peer::IgnoringMove if matches!(message, Message::End(EndKind::Closed | EndKind::Broken)) => {
                 self.close_from_peer(now, key, EndKind::Closed);
             }
@@ -531,9 +569,9 @@
         }
     }
 
-    // What hosts tell.
+    // Reports from the host.
 
-    /// A proxy begins to connect.
+    /// A proxy opens a connection.
     pub fn on_dial(&mut self, now: f64, proxy: usize, to: Target) -> LinkKey {
         let (peer, latency) = match to {
             Target::Node(node) => {
@@ -552,7 +590,7 @@
         key
     }
 
-    /// A proxy has written these bytes.
+    /// A proxy has written bytes.
     pub fn on_bytes(&mut self, now: f64, key: LinkKey, bytes: &[u8]) {
         let Some(link) = self.links.get(key) else { return };
         let proxy = link.proxy;
@@ -561,7 +599,7 @@
         self.send(now, key, false, Message::Bytes(Bytes::from_slice(bytes)));
     }
 
-    /// A proxy has ended its side.
+    /// A proxy has ended its side of a link.
     pub fn on_end(&mut self, now: f64, key: LinkKey, end_kind: EndKind) {
         let Some(link) = self.links.get_mut(key) else { return };
         let proxy = link.proxy;
@@ -570,7 +608,8 @@
         }
         self.update_digest(now, 7, proxy, &[end_kind as u8]);
         self.audit.on_proxy_end(now, key, end_kind);
-        // A machine that has vanished never hears of it; what it holds it gives back when it starts anew.
+        // A machine that has vanished does not receive the end. The connections it holds are removed when its
+        // process starts again.
         if let Peer::Node(node, None) = self.links[key].peer {
             self.links[key].peer_closed |= self.nodes[node].state == NodeState::Silent;
         }
@@ -578,7 +617,7 @@
         self.remove_closed_link(key);
     }
 
-    /// A proxy's process listens.
+    /// A proxy's process has started to listen.
     pub fn on_listening(&mut self, now: f64, proxy: usize) {
         self.update_digest(now, 8, proxy, &[]);
         self.proxies[proxy].listening = true;
@@ -588,36 +627,37 @@
         self.front_pings(now, proxy);
     }
 
-    /// The process that serves is gone; one that retires still holds connections.
+    /// The serving process has ended while a retiring process still holds connections.
     pub fn on_listener_closed(&mut self, now: f64, proxy: usize) {
         self.update_digest(now, 10, proxy, &[]);
         self.proxies[proxy].listening = false;
-        self.service.annotate(now, format!("proxy {proxy} listens no more"));
+        self.service.annotate(now, format!("proxy {proxy} stops listening"));
         self.front_notices_exit(now, proxy);
     }
 
-    /// All of a proxy's processes are gone, by themselves or not; what they held is reset.
+    /// All processes of a proxy have ended, by themselves or killed; the connections they held are reset.
     pub fn on_exit(&mut self, now: f64, proxy: usize) {
         self.update_digest(now, 9, proxy, &[]);
-        let listened = std::mem::replace(&mut self.proxies[proxy].listening, false);
+        let was_listening = std::mem::replace(&mut self.proxies[proxy].listening, false);
         self.audit.on_proxy_exit(now, proxy);
         self.service.annotate(now, format!("proxy {proxy} is gone"));
-        let lost: Vec<LinkKey> = self
+        let open_links: Vec<LinkKey> = self
             .links
             .iter()
             .filter(|(_, l)| l.proxy == proxy && !l.proxy_closed && l.known_to_host)
             .map(|(k, _)| k)
             .collect();
-        for key in lost {
+        for key in open_links {
             self.links[key].proxy_closed = true;
             self.send(now, key, false, Message::End(EndKind::Broken));
             self.remove_closed_link(key);
         }
-        if listened {
+        if was_listening {
             self.front_notices_exit(now, proxy);
         }
     }
 
+    /// Schedules the start of a proxy's process.
     pub(crate) fn start_proxy(&mut self, now: f64, proxy: usize) {
         let mut random = RandomStream::new(
             self.seed,
@@ -629,7 +669,7 @@
         self.queue.push(at, Event::StartProxy(proxy));
     }
 
-    /// A new process takes a running one's place.
+    /// Starts a new process that takes over from a running one.
     pub(crate) fn hand_over(&mut self, now: f64, proxy: usize) {
         if self.proxies[proxy].listening && !self.proxies[proxy].is_stopping() {
             self.proxies[proxy].start_count += 1;
@@ -643,7 +683,7 @@
         self.effects.push(Effect::Start(proxy, known));
     }
 
-    /// The seed of a proxy's present process.
+    /// The seed for the current process of a proxy.
     pub fn proxy_seed(&self, proxy: usize) -> u64 {
         RandomStream::new(
             self.seed,
@@ -653,32 +693,33 @@
         .next_u64()
     }
 
+    /// The name of a node in discovery.
     pub fn node_name(&self, node: usize) -> &str {
         &self.node_names[node]
     }
 
-    /// Which proxy's a link is, while the world knows it.
+    /// The proxy that a link belongs to, if the link exists.
     pub fn proxy_of(&self, key: LinkKey) -> Option<usize> {
         self.links.get(key).map(|l| l.proxy)
     }
 
-    /// What it came to, from when the service had settled.
+    /// The results of the run, measured from the time at which the service has settled.
     pub fn outcome(&mut self) -> Outcome {
         let (from, to) = (SETTLING_TIME.min(self.experiment.seconds / 2.0), self.experiment.seconds);
         self.service.outcome(from, to)
     }
 
-    /// Whether this proxy and this node hear nothing of each other.
+    /// Whether a zone cut separates this proxy from this node.
     pub fn is_partitioned(&self, proxy: usize, node: usize) -> bool {
         self.network.is_cut(self.proxies[proxy].zone, self.nodes[node].zone)
     }
 
-    /// Nobody new comes from now on.
+    /// Stops the arrival of new clients.
     pub fn stop_arrivals(&mut self) {
         self.population.open = false;
     }
 
-    /// Links open, for tests that nothing is left over.
+    /// The number of open links, for tests that check for leaks.
     pub fn open_links(&self) -> usize {
         self.links.len()
     }
