--- a/crates/dewhead-world/src/experiment.rs
+++ b/crates/dewhead-world/src/experiment.rs
@@ -1,312 +1,388 @@
-//! An experiment as its file has it: the world, its troubles with their times, seeds, and a matrix to sweep. Every key
-//! has a default; one that is not known is a fault, and each fault names its key.
+//! The experiment file: the world, its troubles and their times, the seeds, and a matrix of values to sweep.
+//! Every key has a default. An unknown key is an error, and each error names its key.
+//!
+//! A field's name is its key in the file, unless a `rename` attribute gives the key. Times are in seconds,
+//! loads in standard cores, and shares are relative to the sum of the shares in the same list.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A range to draw from, evenly.
+/// A range `[least, most]` from which values are drawn uniformly.
 pub type Range = [f64; 2];
 
+/// An experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Experiment {
+    /// Name of the experiment.
     pub name: String,
-    /// What it is meant to show, in a sentence.
+    /// What the experiment shows, in a sentence.
     #[serde(rename = "about")]
     pub description: String,
-    /// How long it lasts, in seconds.
+    /// Duration in simulated time, in seconds.
     pub seconds: f64,
-    /// The seeds played where none are asked for.
+    /// Seeds to run if none are given on the command line.
     pub seeds: Vec<u64>,
+    /// Zones, proxies and nodes.
     pub fleet: Fleet,
+    /// Types of machines that nodes run on.
     #[serde(rename = "machine")]
     pub machines: Vec<Machine>,
+    /// Behaviour of node processes.
     pub node: NodeBehaviour,
+    /// Demand.
     pub load: Load,
+    /// Traffic types.
     #[serde(rename = "traffic")]
     pub traffic: Vec<Traffic>,
+    /// Tenants.
     #[serde(rename = "shop")]
     pub tenants: Vec<Tenant>,
+    /// Behaviour of clients.
     pub clients: Clients,
+    /// Latency and message splitting.
     pub network: Network,
+    /// Behaviour of the front layer.
     pub front: Front,
+    /// Delays of discovery.
     pub discovery: Discovery,
+    /// Limits and delays of the proxies.
     pub proxy: ProxyBehaviour,
+    /// Parameters of the rules that proxies must keep.
     pub rules: Rules,
+    /// Troubles, each with its time.
     #[serde(rename = "trouble")]
     pub troubles: Vec<Trouble>,
-    /// Keys, as `load.utilisation`, each with the values to sweep over.
+    /// Dotted keys, such as `load.utilisation`, each with the values to sweep over.
     pub matrix: BTreeMap<String, Vec<toml::Value>>,
 }
 
+/// Size and layout of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
+    /// Names of the zones. Proxies and nodes are distributed over them in turn.
     pub zones: Vec<String>,
+    /// Number of proxies.
     pub proxies: usize,
+    /// Number of nodes.
     pub nodes: usize,
-    /// So many nodes of one zone are a cell.
+    /// Number of nodes of one zone that form a cell.
     #[serde(rename = "cell")]
     pub cell_size: usize,
 }
 
-/// A kind of machine that nodes run on.
+/// A type of machine that nodes run on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Machine {
+    /// Name of the machine type.
     pub name: String,
-    /// Its part of the fleet.
+    /// Share of the fleet's nodes.
     pub share: f64,
+    /// Number of cores.
     pub cores: f64,
-    /// A core's speed in standard cores, drawn for each node.
+    /// Speed of a core in standard cores, drawn for each node.
     pub speed: Range,
-    /// What part of its capacity a node has when it has just started, and how long until it has all.
+    /// Fraction of its capacity that a node has just after its start, drawn for each node.
     pub cold_share: Range,
+    /// Seconds after its start until a node has its full capacity, drawn for each node.
     #[serde(rename = "warm_after")]
     pub warm_up_time: Range,
 }
 
-/// How node processes behave.
+/// Behaviour of node processes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodeBehaviour {
-    /// Connections held for each core at the most; more get `BUSY`.
+    /// Most connections per core; further calls get `BUSY`.
     #[serde(rename = "connections_a_core")]
     pub connections_per_core: f64,
-    /// Core-seconds of work to set one connection up.
+    /// Mean work to set up a connection, in core-seconds.
     #[serde(rename = "set_up_work")]
     pub setup_work: f64,
-    /// Seconds of work that may wait before a node answers `BUSY` to what is new.
+    /// Queued work, in seconds, above which a node answers `BUSY` to new calls.
     #[serde(rename = "longest_queue")]
     pub max_queue: f64,
-    /// Whether `LOAD` lines are written.
+    /// Whether nodes write `LOAD` lines.
     #[serde(rename = "tells_load")]
     pub reports_load: bool,
-    /// Whether lines come back at once, however much work is piled up; else in their turn.
+    /// Whether nodes echo lines immediately, regardless of queued work; otherwise after the queueing delay.
     #[serde(rename = "echoes_at_once")]
     pub echoes_immediately: bool,
-    /// Seconds of piled-up work from which on the newest connections are broken off; 0 for never.
+    /// Queued work, in seconds, from which a node resets its newest connections; 0 for never.
     #[serde(rename = "sheds_from")]
     pub shed_threshold: f64,
-    /// Over how many seconds a drain sends clients away; 0 for all at once.
+    /// Time over which a draining node sends its clients away, in seconds; 0 for all at once.
     pub drain_spread: f64,
-    /// Whether the list's shares follow the machines' capacities, or are all 1.
+    /// Whether the weights in the node list are proportional to the machines' capacities, rather than all 1.
     pub weights: bool,
 }
 
+/// Demand over time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// The standing load wanted as a part of the fleet's capacity, in the mean.
+    /// Mean load of the established connections, as a fraction of the fleet's capacity.
     pub utilisation: f64,
-    /// By how much it swings around that, as a part of it, and over how many seconds.
+    /// Amplitude of the periodic variation of the arrival rate, as a fraction of its mean.
     pub swing: f64,
+    /// Period of that variation, in seconds.
     pub period: f64,
-    /// How unevenly clients are spread over the zones: 0 for evenly, 1 for all in the first.
+    /// Imbalance of the clients over the zones: 0 for an even distribution, 1 for all clients in the first
+    /// zone.
     pub zone_skew: f64,
-    /// Whether the connections of a running service stand already when the experiment begins.
+    /// Whether the connections of a running service exist when the experiment begins.
     #[serde(rename = "warm")]
     pub prewarmed: bool,
 }
 
+/// A traffic type.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
+    /// Name of the traffic type.
     pub name: String,
-    /// Its part of the clients.
+    /// Share of the clients.
     pub share: f64,
+    /// Whether and how a call may be repeated after an attempt that may have run.
     #[serde(rename = "effect")]
     pub repeatability: Repeatability,
-    /// For referenced calls: how long a mark is remembered, and by which servers.
+    /// For referenced calls: how long servers remember a reference, in seconds.
     pub window: f64,
+    /// For referenced calls: the servers that share the remembered references.
     pub scope: Scope,
-    /// A connection's mean load, in standard cores, and how much it differs from client to client and over time.
+    /// Mean load of a connection, in standard cores.
     pub load: f64,
+    /// Standard deviation of the logarithm of the load, between clients.
     pub load_sigma: f64,
+    /// Standard deviation of the logarithm of a connection's load over time.
     pub swing_sigma: f64,
-    /// Seconds between changes of a connection's load, in the mean, and the part of the time that it asks nothing.
+    /// Mean time between changes of a connection's load, in seconds.
     #[serde(rename = "change")]
     pub change_interval: f64,
+    /// Fraction of the time in which a connection has no load.
     pub idle: f64,
-    /// How long a client stays, in the mean, and the tail's shape (over 1; the lower, the heavier).
+    /// Mean time that a client stays, in seconds.
     #[serde(rename = "life")]
     pub lifetime: f64,
+    /// Shape of the distribution's tail, greater than 1; the lower, the heavier the tail.
     #[serde(rename = "life_shape")]
     pub lifetime_shape: f64,
+    /// Target for the setup time, in seconds.
     pub setup_target: f64,
+    /// Time within which a call must be answered, in seconds.
     pub guard_time: f64,
+    /// Target for the queueing delay of messages, in seconds; work within it earns revenue.
     pub message_target: f64,
+    /// Revenue per second for each standard core of load served within the message target.
     pub revenue: f64,
 }
 
+/// Whether and how a call may be repeated after an attempt that may have run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeatability {
+    /// The call may be repeated without limit.
     Repeatable,
+    /// The call carries a reference by which a server recognizes a repetition.
     Referenced,
+    /// The call must not be repeated.
     OnceOnly,
 }
 
+/// The servers that share the references of calls.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scope {
+    /// All servers.
     All,
+    /// The servers of one zone.
     Zone,
+    /// The servers of one cell.
     Cell,
 }
 
+/// A tenant.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tenant {
+    /// Name of the tenant.
     pub name: String,
+    /// Share of the capacity that the tenant is entitled to.
     pub share: f64,
-    /// What it brings against its share.
+    /// Demand of the tenant as a multiple of its share.
     pub usage: f64,
 }
 
+/// Behaviour of clients.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// How often a client tries again by itself, and its first pause; pauses double.
+    /// Number of retries of a client.
     pub retries: Range,
+    /// First pause before a retry, in seconds; each further pause is twice as long.
     pub pause: Range,
-    /// The part of the clients that stay away as long as they are told to.
+    /// Fraction of the clients that respect the retry time of a `BUSY`.
     #[serde(rename = "honour")]
     pub honours_retry_after: f64,
-    /// How long after a break or a `MOVE` a client comes again.
+    /// Time after a broken connection or a `MOVE` until a client reconnects, in seconds.
     #[serde(rename = "rejoin")]
     pub reconnect_delay: Range,
-    /// Seconds between a client's lines.
+    /// Time between a client's lines, in seconds.
     #[serde(rename = "line_every")]
     pub line_interval: f64,
-    /// The part of the clients that go on writing on a connection after `MOVE`, until it is closed.
+    /// Fraction of the clients that go on writing on a connection after `MOVE`, until it is closed.
     #[serde(rename = "lingering")]
     pub ignore_move_share: f64,
-    /// Whether clients tell a guess at their load, and its sigma.
+    /// Whether clients send an estimate of their load.
     pub hints: bool,
+    /// Standard deviation of the logarithm of that estimate.
     pub hint_sigma: f64,
 }
 
+/// Latency and message splitting.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One-way times: within a zone, between zones, between clients and proxies.
+    /// One-way latency within a zone, in seconds.
     #[serde(rename = "same")]
     pub within_zone: Range,
+    /// One-way latency between zones, in seconds.
     #[serde(rename = "cross")]
     pub cross_zone: Range,
+    /// One-way latency between clients and proxies, in seconds.
     pub client: Range,
-    /// A message takes up to this part longer, by chance.
+    /// Largest random increase of a message's latency, as a fraction of it.
     pub jitter: f64,
-    /// The part of all messages that arrive in two pieces.
+    /// Fraction of the messages that arrive in two parts.
     #[serde(rename = "cuts")]
     pub split_share: f64,
 }
 
+/// Behaviour of the front layer, which distributes clients over the proxies.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Front {
-    /// For how long it goes on sending to a dead proxy.
+    /// Time for which it still sends clients to a proxy that has failed, in seconds.
     #[serde(rename = "notice")]
     pub failure_notice: Range,
-    /// For how long new clients go on coming after a proxy was told to stop.
+    /// Time for which it still sends clients to a proxy that has been told to stop, in seconds.
     pub stop_notice: Range,
 }
 
+/// Delays of discovery.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// How long after it happens discovery has: a process that died, a machine that went silent, a new one.
+    /// Delay until discovery knows of a process that has ended, in seconds.
     #[serde(rename = "notice")]
     pub failure_notice: Range,
+    /// Delay until discovery knows of a machine that has become silent, in seconds.
     pub silent_notice: Range,
+    /// Delay until discovery knows of a process that has started or is draining, in seconds.
     #[serde(rename = "add")]
     pub update_notice: Range,
-    /// How far apart proxies hear of one change.
+    /// Largest delay from a change in discovery until a proxy's agent has it, in seconds.
     #[serde(rename = "spread")]
     pub propagation_spread: f64,
 }
 
+/// Limits and delays of the proxies.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ProxyBehaviour {
-    /// Seconds from a start until the process listens.
+    /// Time from a start until the process listens, in seconds.
     #[serde(rename = "start")]
     pub start_delay: Range,
-    /// Over how many seconds an old process sends its clients away once another has taken its place.
+    /// Time over which an old process sends its clients away after a handover, in seconds.
     pub leave_in: f64,
-    /// The multiple of a cold node's capacity that proxies are told where that is not the rule's own; too high, they
-    /// send more than the rule allows.
+    /// Overload multiple in the proxies' settings, if it differs from the rule's. If it is too high, proxies
+    /// send more to cold nodes than the rule allows.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "told_fall_multiple")]
     pub configured_overload_multiple: Option<f64>,
+    /// Limit of open sockets.
     pub sockets: usize,
+    /// Memory limit, in megabytes.
     pub memory_mb: u64,
 }
 
-/// The rules' figures, as proxies are told them.
+/// Parameters of the rules; the proxies' settings contain them too.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
+    /// Most legs of a call.
     #[serde(rename = "most_legs")]
     pub max_legs: u32,
+    /// Whether two legs of a call may be pending at once.
     pub second_copies: bool,
+    /// Whether a `BUSY` may carry a retry time.
     pub retry_after: bool,
+    /// Longest retry time, in seconds.
     #[serde(rename = "longest_stay_away")]
     pub max_retry_after: f64,
+    /// Time limit for a connection to a node, in seconds.
     pub connect_timeout: f64,
+    /// Time for which a draining or removed node may still be sent calls, in seconds.
     pub drain_grace: f64,
-    /// A cold node sent more than this many times its present capacity for so long falls over.
+    /// A cold node crashes if it is sent more than this multiple of its current capacity over the overload
+    /// window.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
+    /// Length of the overload window, in seconds.
     #[serde(rename = "fall_after")]
     pub overload_window: f64,
-    /// What crossing zones and moving cost, as proxies are told it.
+    /// Deduction for a leg that crosses zones, in the proxies' settings.
     #[serde(rename = "crossing")]
     pub cross_zone_cost: f64,
+    /// Deduction for moving a connection, in the proxies' settings.
     #[serde(rename = "moving")]
     pub move_cost: f64,
 }
 
-/// A trouble: its kind, when it comes, how long it lasts. What else counts depends on the kind.
+/// A trouble: its kind, start and duration. The kind determines the meaning of the other keys.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
+    /// Name of the kind, one of `troubles::TROUBLE_KINDS`.
     pub kind: String,
+    /// Start, in seconds.
     pub at: f64,
-    #[serde(default = "ten")]
+    /// Duration, in seconds.
+    #[serde(default = "default_duration")]
     #[serde(rename = "lasts")]
     pub duration: f64,
-    /// What part of those that can be hit is.
-    #[serde(default = "half")]
+    /// Fraction of the eligible nodes, proxies or clients that is affected.
+    #[serde(default = "default_fraction")]
     #[serde(rename = "part")]
     pub fraction: f64,
-    /// How hard: a multiple, or a part; each kind says which.
-    #[serde(default = "two")]
+    /// Magnitude; a multiple, a number or a time, depending on the kind.
+    #[serde(default = "default_magnitude")]
     #[serde(rename = "size")]
     pub magnitude: f64,
-    /// How many at a time, where they are hit in turn.
-    #[serde(default = "one")]
+    /// Number of nodes or proxies affected at a time, for kinds that affect them in turn.
+    #[serde(default = "default_at_a_time")]
     pub at_a_time: usize,
-    /// Only those of this zone, where that is meant.
+    /// Restricts the trouble to this zone, for kinds that use it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// Only this traffic type or shop, where that is meant.
+    /// Restricts the trouble to this traffic type or tenant, for kinds that use it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "of")]
     pub subject: Option<String>,
 }
 
-fn ten() -> f64 {
+fn default_duration() -> f64 {
     10.0
 }
-fn half() -> f64 {
+fn default_fraction() -> f64 {
     0.5
 }
-fn two() -> f64 {
+fn default_magnitude() -> f64 {
     2.0
 }
-fn one() -> usize {
+fn default_at_a_time() -> usize {
     1
 }
 
@@ -322,7 +398,7 @@
         };
         let machine =
             |name: &str, share: f64, speed| Machine { name: name.into(), share, speed, ..Machine::default() };
-        let shop = |name: &str, share: f64| Tenant { name: name.into(), share, usage: 1.0 };
+        let tenant = |name: &str, share: f64| Tenant { name: name.into(), share, usage: 1.0 };
         Experiment {
             name: "unnamed".into(),
             description: String::new(),
@@ -342,7 +418,7 @@
                 traffic("baskets", 0.2, 0.03, 2.0, 5.0),
                 traffic("couriers", 0.15, 0.03, 2.5, 2.0),
             ],
-            tenants: vec![shop("north", 0.5), shop("south", 0.3), shop("island", 0.2)],
+            tenants: vec![tenant("north", 0.5), tenant("south", 0.3), tenant("island", 0.2)],
             clients: Clients::default(),
             network: Network::default(),
             front: Front::default(),
@@ -498,121 +574,128 @@
 }
 
 impl Experiment {
-    /// Reads one from TOML; a fault is one line that names the key, and where it stands in the text.
+    /// Reads an experiment from TOML. An error is a single line that names the key, or the position in the
+    /// text.
     pub fn parse(text: &str) -> Result<Experiment, String> {
         let table =
             toml::from_str::<toml::Table>(text).map_err(|e| e.to_string().trim().replace('\n', " "))?;
-        Experiment::of(toml::Value::Table(table))
+        Experiment::from_value(toml::Value::Table(table))
     }
 
-    fn of(value: toml::Value) -> Result<Experiment, String> {
-        let read: Experiment = serde_path_to_error::deserialize(value)
+    fn from_value(value: toml::Value) -> Result<Experiment, String> {
+        let experiment: Experiment = serde_path_to_error::deserialize(value)
             .map_err(|e| format!("key '{}': {}", e.path(), e.inner().message()))?;
-        read.check()?;
-        Ok(read)
+        experiment.check()?;
+        Ok(experiment)
     }
 
-    /// One experiment for each point of the matrix, with the point in words; itself alone where there is no matrix.
+    /// Returns one experiment for each point of the matrix, with a label of the point; only the experiment
+    /// itself if there is no matrix.
     pub fn matrix_points(&self) -> Result<Vec<(String, Experiment)>, String> {
-        let mut bare = self.clone();
-        bare.matrix.clear();
-        let whole = toml::Value::try_from(&bare).map_err(|e| e.to_string())?;
-        let mut points = vec![(String::new(), whole)];
+        let mut without_matrix = self.clone();
+        without_matrix.matrix.clear();
+        let base = toml::Value::try_from(&without_matrix).map_err(|e| e.to_string())?;
+        let mut points = vec![(String::new(), base)];
         for (key, values) in &self.matrix {
-            let mut more = Vec::new();
-            for (words, point) in &points {
+            let mut extended = Vec::new();
+            for (label, point) in &points {
                 for value in values {
                     let mut point = point.clone();
-                    put(&mut point, key, value.clone())?;
-                    let comma = if words.is_empty() { "" } else { ", " };
-                    more.push((format!("{words}{comma}{key} = {value}"), point));
+                    replace_value(&mut point, key, value.clone())?;
+                    let separator = if label.is_empty() { "" } else { ", " };
+                    extended.push((format!("{label}{separator}{key} = {value}"), point));
                 }
             }
-            points = more;
+            points = extended;
         }
-        points.into_iter().map(|(words, point)| Ok((words, Experiment::of(point)?))).collect()
+        points.into_iter().map(|(label, point)| Ok((label, Experiment::from_value(point)?))).collect()
     }
 
+    /// Checks the ranges of all values.
     fn check(&self) -> Result<(), String> {
-        let must = |sound: bool, key: &str, wanted: &str| {
-            if sound {
+        let require = |valid: bool, key: &str, requirement: &str| {
+            if valid {
                 Ok(())
             } else {
-                Err(format!("key '{key}': {wanted}"))
+                Err(format!("key '{key}': {requirement}"))
             }
         };
-        must(
+        require(
             self.seconds > 0.0 && self.seconds <= 86_400.0,
             "seconds",
-            "must be over 0, and a day at the most",
+            "must be greater than 0 and at most 86400",
         )?;
-        must(!self.fleet.zones.is_empty(), "fleet.zones", "names no zone")?;
-        must((1..=1000).contains(&self.fleet.proxies), "fleet.proxies", "must be from 1 to 1000")?;
-        must((1..=1000).contains(&self.fleet.nodes), "fleet.nodes", "must be from 1 to 1000")?;
-        must(self.fleet.cell_size > 0, "fleet.cell", "must be over 0")?;
-        must(!self.machines.is_empty(), "machine", "names no machine")?;
-        must(!self.traffic.is_empty(), "traffic", "names no traffic type")?;
-        must(!self.tenants.is_empty(), "shop", "names no shop")?;
-        must(
+        require(!self.fleet.zones.is_empty(), "fleet.zones", "must name at least one zone")?;
+        require((1..=1000).contains(&self.fleet.proxies), "fleet.proxies", "must be from 1 to 1000")?;
+        require((1..=1000).contains(&self.fleet.nodes), "fleet.nodes", "must be from 1 to 1000")?;
+        require(self.fleet.cell_size > 0, "fleet.cell", "must be greater than 0")?;
+        require(!self.machines.is_empty(), "machine", "must contain at least one machine type")?;
+        require(!self.traffic.is_empty(), "traffic", "must contain at least one traffic type")?;
+        require(!self.tenants.is_empty(), "shop", "must contain at least one tenant")?;
+        require(
             self.load.utilisation >= 0.0 && self.load.utilisation <= 10.0,
             "load.utilisation",
             "must be from 0 to 10",
         )?;
-        must((0.0..=1.0).contains(&self.load.swing), "load.swing", "must be from 0 to 1")?;
-        must((0.0..=1.0).contains(&self.load.zone_skew), "load.zone_skew", "must be from 0 to 1")?;
-        must(self.load.period > 0.0, "load.period", "must be over 0")?;
-        must(self.clients.line_interval >= 0.1, "clients.line_every", "must be 0.1 at the least")?;
-        must(
+        require((0.0..=1.0).contains(&self.load.swing), "load.swing", "must be from 0 to 1")?;
+        require((0.0..=1.0).contains(&self.load.zone_skew), "load.zone_skew", "must be from 0 to 1")?;
+        require(self.load.period > 0.0, "load.period", "must be greater than 0")?;
+        require(self.clients.line_interval >= 0.1, "clients.line_every", "must be at least 0.1")?;
+        require(
             (0.0..=1.0).contains(&self.clients.ignore_move_share),
             "clients.lingering",
             "must be from 0 to 1",
         )?;
-        must(self.rules.max_legs >= 1, "rules.most_legs", "must be 1 at the least")?;
+        require(self.rules.max_legs >= 1, "rules.most_legs", "must be at least 1")?;
         for (n, one) in self.traffic.iter().enumerate() {
             let key = |name: &str| format!("traffic[{n}].{name}");
-            must(one.guard_time > 0.0, &key("guard_time"), "must be over 0")?;
-            must(one.lifetime > 0.0, &key("life"), "must be over 0")?;
-            must(one.lifetime_shape > 1.0, &key("life_shape"), "must be over 1")?;
-            must(one.load > 0.0, &key("load"), "must be over 0")?;
-            must(one.change_interval > 0.0, &key("change"), "must be over 0")?;
-            must((0.0..1.0).contains(&one.idle), &key("idle"), "must be from 0 to under 1")?;
-            let plain =
+            require(one.guard_time > 0.0, &key("guard_time"), "must be greater than 0")?;
+            require(one.lifetime > 0.0, &key("life"), "must be greater than 0")?;
+            require(one.lifetime_shape > 1.0, &key("life_shape"), "must be greater than 1")?;
+            require(one.load > 0.0, &key("load"), "must be greater than 0")?;
+            require(one.change_interval > 0.0, &key("change"), "must be greater than 0")?;
+            require((0.0..1.0).contains(&one.idle), &key("idle"), "must be at least 0 and less than 1")?;
+            let valid_name =
                 !one.name.is_empty() && one.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
-            must(plain, &key("name"), "must be letters, digits and hyphens")?;
+            require(valid_name, &key("name"), "must be letters, digits and hyphens")?;
         }
         for (n, one) in self.machines.iter().enumerate() {
             let key = |name: &str| format!("machine[{n}].{name}");
-            must(one.cores > 0.0, &key("cores"), "must be over 0")?;
-            must(
+            require(one.cores > 0.0, &key("cores"), "must be greater than 0")?;
+            require(
                 one.speed[0] > 0.0 && one.speed[1] >= one.speed[0],
                 &key("speed"),
-                "must be two rising figures over 0",
+                "must be two increasing numbers greater than 0",
             )?;
-            must(one.cold_share[0] > 0.0, &key("cold_share"), "must be over 0")?;
+            require(one.cold_share[0] > 0.0, &key("cold_share"), "must be greater than 0")?;
         }
         for (n, one) in self.troubles.iter().enumerate() {
             let key = |name: &str| format!("trouble[{n}].{name}");
             crate::troubles::find_kind(&one.kind).map_err(|e| format!("key '{}': {e}", key("kind")))?;
-            must(one.at >= 0.0 && one.duration > 0.0, &key("at"), "must be 0 or over, and 'lasts' over 0")?;
-            must((0.0..=1.0).contains(&one.fraction), &key("part"), "must be from 0 to 1")?;
-            must(one.at_a_time > 0, &key("at_a_time"), "must be over 0")?;
+            require(
+                one.at >= 0.0 && one.duration > 0.0,
+                &key("at"),
+                "must be at least 0, and 'lasts' greater than 0",
+            )?;
+            require((0.0..=1.0).contains(&one.fraction), &key("part"), "must be from 0 to 1")?;
+            require(one.at_a_time > 0, &key("at_a_time"), "must be greater than 0")?;
             if let Some(zone) = &one.zone {
-                must(self.fleet.zones.contains(zone), &key("zone"), "names no zone of the fleet")?;
+                require(self.fleet.zones.contains(zone), &key("zone"), "is not a zone of the fleet")?;
             }
         }
         Ok(())
     }
 }
 
-/// Puts a value where a dotted key says.
-fn put(into: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
-    let fault = || format!("key 'matrix': '{key}' names nothing that there is");
-    let mut at = into;
+/// Replaces the value at a dotted key.
+fn replace_value(root: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
+    let unknown_key = || format!("key 'matrix': '{key}' does not exist");
+    let mut at = root;
     for name in key.split('.') {
         at = match (name.parse::<usize>(), at) {
-            (Ok(n), toml::Value::Array(list)) => list.get_mut(n).ok_or_else(fault)?,
-            (_, toml::Value::Table(table)) => table.get_mut(name).ok_or_else(fault)?,
-            _ => return Err(fault()),
+            (Ok(n), toml::Value::Array(list)) => list.get_mut(n).ok_or_else(unknown_key)?,
+            (_, toml::Value::Table(table)) => table.get_mut(name).ok_or_else(unknown_key)?,
+            _ => return Err(unknown_key()),
         };
     }
     *at = value;
