--- a/crates/dewhead-world/src/node_connections.rs
+++ b/crates/dewhead-world/src/node_connections.rs
@@ -1,6 +1,6 @@
 //! The nodes' side of connections: heads read, set-ups begun and done, lines said back, loads told, drains, deaths.
 
-use crate::clients::Stage;
+use crate::clients::ClientState;
 use crate::nodes::NodeState;
 use crate::troubles::killed_after;
 use crate::world::{
@@ -325,7 +325,7 @@
         // Slots are used again, so that the newest are told by when their clients were placed.
         let since = |k: &ConnectionKey| {
             let client = self.connections[*k].client.and_then(|c| self.clients.get(c));
-            client.map_or(0.0, |c| if c.stage == Stage::Standing { c.since } else { now })
+            client.map_or(0.0, |c| if c.state == ClientState::Established { c.established_at } else { now })
         };
         standing.sort_by(|a, b| since(b).total_cmp(&since(a)).then(a.cmp(b)));
         let able = self.nodes[node].capacity(now);
--- a/crates/dewhead-world/src/troubles/burst.rs
+++ b/crates/dewhead-world/src/troubles/burst.rs
@@ -9,9 +9,9 @@
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
-        world.population.burst *= trouble.magnitude;
+        world.population.arrival_multiple *= trouble.magnitude;
         return Some(now + trouble.duration);
     }
-    world.population.burst /= trouble.magnitude;
+    world.population.arrival_multiple /= trouble.magnitude;
     None
 }
--- a/crates/dewhead-world/src/troubles/flood.rs
+++ b/crates/dewhead-world/src/troubles/flood.rs
@@ -15,9 +15,9 @@
         trouble.subject.as_ref().and_then(|of| world.experiment.tenants.iter().position(|s| s.name == *of));
     let shop = named.unwrap_or(0);
     if stage == 0 {
-        world.population.floods[shop] *= trouble.magnitude;
+        world.population.tenant_multiples[shop] *= trouble.magnitude;
         return Some(now + trouble.duration);
     }
-    world.population.floods[shop] /= trouble.magnitude;
+    world.population.tenant_multiples[shop] /= trouble.magnitude;
     None
 }
--- a/crates/dewhead-world/src/troubles/heavy_tail.rs
+++ b/crates/dewhead-world/src/troubles/heavy_tail.rs
@@ -15,9 +15,9 @@
         trouble.subject.as_ref().and_then(|of| world.experiment.traffic.iter().position(|t| t.name == *of));
     let kind = named.unwrap_or(1.min(world.experiment.traffic.len() - 1));
     if stage == 0 {
-        world.population.heavy[kind] = (trouble.fraction, trouble.magnitude);
+        world.population.heavy_loads[kind] = (trouble.fraction, trouble.magnitude);
         return Some(now + trouble.duration);
     }
-    world.population.heavy[kind] = (0.0, 1.0);
+    world.population.heavy_loads[kind] = (0.0, 1.0);
     None
 }
--- a/crates/dewhead-world/src/troubles/reconnect.rs
+++ b/crates/dewhead-world/src/troubles/reconnect.rs
@@ -14,7 +14,7 @@
 const WAVES: u32 = 10;
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
-    for client in world.standing_clients() {
+    for client in world.established_clients() {
         if world.trouble_random[n].bernoulli(trouble.fraction / f64::from(WAVES)) {
             world.drop_client(now, client, EndKind::Closed);
         }
--- a/crates/dewhead-world/src/troubles/resets.rs
+++ b/crates/dewhead-world/src/troubles/resets.rs
@@ -21,7 +21,7 @@
             world.drop_connection(now, connection, EndKind::Broken);
         }
     }
-    for client in world.standing_clients() {
+    for client in world.established_clients() {
         if world.trouble_random[n].bernoulli(part) {
             world.drop_client(now, client, EndKind::Broken);
         }
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -716,7 +716,7 @@
 
     /// Stops the arrival of new clients.
     pub fn stop_arrivals(&mut self) {
-        self.population.open = false;
+        self.population.arrivals_open = false;
     }
 
     /// The number of open links, for tests that check for leaks.
