--- a/crates/dewhead-world/src/troubles/handover_stop.rs
+++ b/crates/dewhead-world/src/troubles/handover_stop.rs
@@ -1,7 +1,7 @@
 //! Proxies are handed over and told to stop a moment later, while the old process still sends its clients away: by turns
 //! the supervisor signals the successor alone, and the whole group.
 
-use super::{choose_proxies, killed_after, next_turn, turn, TroubleKind};
+use super::{choose_proxies, kill_delay, next_turn, turn, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
@@ -29,7 +29,7 @@
         1 => {
             let signal = if number.is_multiple_of(2) { Signal::Stop } else { Signal::StopGroup };
             affected.into_iter().for_each(|proxy| world.signal(now, proxy, signal));
-            Some(now + killed_after(world))
+            Some(now + kill_delay(world))
         }
         _ => {
             for proxy in affected {
--- a/crates/dewhead-world/src/troubles/mod.rs
+++ b/crates/dewhead-world/src/troubles/mod.rs
@@ -126,7 +126,7 @@
 const KILLED_AFTER: f64 = 0.7;
 
 /// How long after SIGTERM the kill comes, in seconds: at the earliest moment that is allowed.
-pub(crate) fn killed_after(world: &World) -> f64 {
+pub(crate) fn kill_delay(world: &World) -> f64 {
     let guard = world.experiment.traffic.iter().map(|t| t.guard_time).fold(0.0, f64::max);
     guard.min(WAITED_FOR) + KILLED_AFTER
 }
--- a/crates/dewhead-world/src/troubles/restart_stop.rs
+++ b/crates/dewhead-world/src/troubles/restart_stop.rs
@@ -1,6 +1,6 @@
 //! Proxies are restarted in turn with SIGTERM, and killed where they do not end by themselves.
 
-use super::{choose_proxies, killed_after, next_turn, turn, TroubleKind};
+use super::{choose_proxies, kill_delay, next_turn, turn, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
@@ -21,7 +21,7 @@
         for proxy in affected {
             world.signal(now, proxy, Signal::Stop);
         }
-        return Some(now + killed_after(world));
+        return Some(now + kill_delay(world));
     }
     for proxy in affected {
         world.signal(now, proxy, Signal::Kill);
--- a/crates/dewhead-world/src/troubles/signal_series.rs
+++ b/crates/dewhead-world/src/troubles/signal_series.rs
@@ -1,7 +1,7 @@
 //! Proxies get signals in series: SIGHUP again and again, then SIGTERM, SIGHUP and SIGTERM once more. The kill comes as
 //! early after the first SIGTERM as is allowed.
 
-use super::{choose_proxies, killed_after, next_turn, turn, TroubleKind};
+use super::{choose_proxies, kill_delay, next_turn, turn, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
@@ -40,5 +40,5 @@
         .iter()
         .filter_map(|proxy| world.proxies[*proxy].stop_requested_at)
         .fold(f64::NEG_INFINITY, f64::max);
-    Some(first.max(now - killed_after(world)) + killed_after(world))
+    Some(first.max(now - kill_delay(world)) + kill_delay(world))
 }
