--- a/crates/dewhead-world/src/discovery.rs
+++ b/crates/dewhead-world/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: what it holds of the nodes, some seconds late, and an agent on each proxy's machine that writes the watch.
+//! Discovery: the delayed state of the nodes, and an agent on each proxy's machine that writes the node list
+//! to the proxy's watch.
 
 use crate::experiment::{Experiment, Range};
 use crate::nodes::{Node, NodeState};
@@ -7,6 +8,7 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
+/// The health of a node in the list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Health {
     Ready,
@@ -14,15 +16,16 @@
     Gone,
 }
 
+/// A node in an agent's list.
 #[derive(Clone, Debug)]
 struct Entry {
     health: Health,
     started: f64,
-    /// The version that brought this.
-    changed: u64,
+    /// The version that contains this state.
+    changed_in: u64,
 }
 
-/// A change on its way to discovery, then on its way to the agents.
+/// A change of a node's state, before discovery has it and later until all agents have it.
 #[derive(Clone, Debug)]
 struct Change {
     node: usize,
@@ -30,62 +33,64 @@
     started: f64,
 }
 
-/// An open watch, and the version written on it last.
+/// An open watch, and the version last written to it.
 #[derive(Clone, Copy)]
 struct Watch {
     link: LinkKey,
-    written: u64,
+    written_version: u64,
 }
 
+/// The discovery agent on a proxy's machine.
 pub(crate) struct Agent {
     version: u64,
     entries: Vec<Entry>,
-    /// The watches that are open: two while one process takes another's place.
+    /// The open watches; there are two during a handover.
     watches: Vec<Watch>,
-    line: Bytes,
-    /// The so-many-th of its addresses is the one that answers.
+    request: Bytes,
+    /// Index of the address at which the agent accepts connections.
     pub address: usize,
     pub silent: bool,
-    /// What versions are told less by, since a restart that counts anew.
-    offset: u64,
+    /// Subtracted from versions when they are written, since a restart resets the count.
+    version_offset: u64,
 }
 
+/// The state of discovery and its agents.
 pub(crate) struct Discovery {
     random: RandomStream,
-    /// Changes by their numbers, until discovery has them; then by version, for the agents.
-    coming: BTreeMap<u64, Change>,
-    changes: u64,
+    /// Changes by number, until discovery has them; then in the order of their versions, for the agents.
+    pending_changes: BTreeMap<u64, Change>,
+    change_count: u64,
     versions: Vec<Change>,
     pub agents: Vec<Agent>,
-    /// How much later than usual everything is known.
-    pub late: f64,
-    shares: Vec<(String, usize, u64, f64)>,
+    /// Additional delay of all changes, in seconds.
+    pub extra_delay: f64,
+    node_info: Vec<(String, usize, u64, f64)>,
     zones: Vec<String>,
-    /// Unix time at the start.
+    /// Unix time at the start of the experiment, in seconds.
     pub epoch: f64,
-    /// The wall clock's step: from when on, in seconds from the start, and by how many seconds.
+    /// The step of the wall clock: its time, in seconds from the start, and its size in seconds.
     clock_step: (f64, f64),
-    /// By proxy and node: where that proxy reaches that node.
+    /// By proxy and node: the address at which the proxy reaches the node.
     pub addresses: Vec<Vec<String>>,
 }
 
-/// An empty line comes this often while nothing changes.
-const BEAT: f64 = 2.0;
-/// Unix time, in seconds, at the start of an experiment in simulated time.
+/// Interval of the empty lines written while nothing changes, in seconds.
+const HEARTBEAT_INTERVAL: f64 = 2.0;
+/// Unix time at the start of an experiment in simulated time, in seconds.
 pub const EPOCH: f64 = 1e6;
 
 impl Discovery {
     pub(crate) fn new<C>(
-        of: &Experiment,
+        experiment: &Experiment,
         nodes: &[Node<C>],
-        names: &[String],
+        node_names: &[String],
         proxies: usize,
         random: RandomStream,
     ) -> Discovery {
-        let entry = Entry { health: Health::Ready, started: f64::NEG_INFINITY, changed: 1 };
+        let entry = Entry { health: Health::Ready, started: f64::NEG_INFINITY, changed_in: 1 };
         let mean = nodes.iter().map(|n| n.warm_capacity).sum::<f64>() / nodes.len().max(1) as f64;
         let share = |n: &Node<C>| {
-            if of.node.weights {
+            if experiment.node.weights {
                 (n.warm_capacity / mean * 100.0).round() / 100.0
             } else {
                 1.0
@@ -93,71 +98,73 @@
         };
         Discovery {
             random,
-            coming: BTreeMap::new(),
-            changes: 0,
+            pending_changes: BTreeMap::new(),
+            change_count: 0,
             versions: Vec::new(),
             agents: (0..proxies)
                 .map(|_| Agent {
                     version: 1,
                     entries: vec![entry.clone(); nodes.len()],
                     watches: Vec::new(),
-                    line: Bytes::new(),
+                    request: Bytes::new(),
                     address: 0,
                     silent: false,
-                    offset: 0,
+                    version_offset: 0,
                 })
                 .collect(),
-            late: 0.0,
-            shares: nodes
+            extra_delay: 0.0,
+            node_info: nodes
                 .iter()
-                .zip(names)
+                .zip(node_names)
                 .map(|(n, name)| (name.clone(), n.zone, n.cell, share(n)))
                 .collect(),
-            zones: of.fleet.zones.clone(),
+            zones: experiment.fleet.zones.clone(),
             epoch: EPOCH,
             clock_step: (f64::INFINITY, 0.0),
             addresses: vec![vec![String::new(); nodes.len()]; proxies],
         }
     }
 
-    /// What all machines' wall clocks show at this second of the experiment.
+    /// The wall clock of all machines at this time of the experiment.
     fn wall_clock(&self, at: f64) -> f64 {
         let (from, by) = self.clock_step;
         self.epoch + at + if at >= from { by } else { 0.0 }
     }
 
-    fn listing(&self, agent: usize, whole: bool, since: u64) -> Value {
+    /// Returns an agent's list: the whole one, or the entries changed since a version.
+    fn node_list(&self, agent: usize, whole: bool, since: u64) -> Value {
         let agent_number = agent;
         let agent = &self.agents[agent];
         let hosts: Vec<Value> = agent
             .entries
             .iter()
             .enumerate()
-            .filter(|(_, e)| if whole { e.health != Health::Gone } else { e.changed > since })
+            .filter(|(_, e)| if whole { e.health != Health::Gone } else { e.changed_in > since })
             .map(|(n, e)| {
-                let (name, zone, cell, share) = &self.shares[n];
+                let (name, zone, cell, share) = &self.node_info[n];
                 let health = match e.health {
                     Health::Ready => "ready",
                     Health::Draining => "draining",
                     Health::Gone => "gone",
                 };
-                let born = if e.started.is_finite() { (self.wall_clock(e.started) * 1e3).round() } else { 0.0 };
+                let born_ms = if e.started.is_finite() { (self.wall_clock(e.started) * 1e3).round() } else { 0.0 };
                 json!({"host": name, "dial": self.addresses[agent_number][n], "site": self.zones[*zone], "class": "node",
-                       "block": cell, "health": health, "share": share, "born_ms": born as u64})
+                       "block": cell, "health": health, "share": share, "born_ms": born_ms as u64})
             })
             .collect();
-        json!({"seq": agent.version - agent.offset, "whole": whole, "hosts": hosts})
+        json!({"seq": agent.version - agent.version_offset, "whole": whole, "hosts": hosts})
     }
 
-    /// The list as this proxy last had it.
+    /// The node list as this proxy last had it.
     pub(crate) fn last_list(&self, proxy: usize) -> Value {
-        self.listing(proxy, true, 0)
+        self.node_list(proxy, true, 0)
     }
 }
 
 impl World {
-    /// What has become of a node gets to discovery after a while.
-    pub(crate) fn change_listing(&mut self, now: f64, node: usize, after: Range) {
+    /// Schedules the update of discovery with the current state of a node, after a random delay in the given
+    /// range.
+    pub(crate) fn schedule_update(&mut self, now: f64, node: usize, delay: Range) {
         let (state, started) = (self.nodes[node].state, self.nodes[node].started_at);
         let health = match state {
             NodeState::Up => Health::Ready,
@@ -165,102 +172,108 @@
             NodeState::Dead | NodeState::Silent => Health::Gone,
         };
         let discovery = &mut self.discovery;
-        discovery.changes += 1;
-        discovery.coming.insert(discovery.changes, Change { node, health, started });
-        let at = now + discovery.random.uniform_in(after) + discovery.late;
-        self.queue.push(at, Event::DiscoveryUpdate(discovery.changes));
+        discovery.change_count += 1;
+        discovery.pending_changes.insert(discovery.change_count, Change { node, health, started });
+        let at = now + discovery.random.uniform_in(delay) + discovery.extra_delay;
+        self.queue.push(at, Event::DiscoveryUpdate(discovery.change_count));
     }
 
-    /// Discovery has it, unless a newer state of that node has overtaken it.
+    /// Publishes a change, unless a newer state of the same node has been published.
     pub(crate) fn apply_update(&mut self, now: f64, number: u64) {
         let discovery = &mut self.discovery;
-        let Some(change) = discovery.coming.remove(&number) else { return };
-        // What became of the same node earlier, and is still on its way, is overtaken.
-        discovery.coming.retain(|n, c| *n > number || c.node != change.node);
+        let Some(change) = discovery.pending_changes.remove(&number) else { return };
+        // Drops earlier changes of the same node that are still pending.
+        discovery.pending_changes.retain(|n, c| *n > number || c.node != change.node);
         discovery.versions.push(change);
         let version = discovery.versions.len() as u64 + 1;
         for agent in 0..discovery.agents.len() {
             let at = now + self.experiment.discovery.propagation_spread * discovery.random.uniform();
-            self.queue.push(at, Event::Agent(agent, version));
+            self.queue.push(at, Event::AgentUpdate(agent, version));
         }
     }
 
+    /// Brings an agent to a version and writes the changes to its watches.
     pub(crate) fn update_agent(&mut self, now: f64, n: usize, version: u64) {
         let discovery = &mut self.discovery;
         let agent = &mut discovery.agents[n];
         for v in agent.version + 1..=version {
             let change = &discovery.versions[v as usize - 2];
-            agent.entries[change.node] = Entry { health: change.health, started: change.started, changed: v };
+            agent.entries[change.node] =
+                Entry { health: change.health, started: change.started, changed_in: v };
             self.audit.on_agent_update(now, n, change.node, change.health == Health::Ready, change.started);
         }
         agent.version = agent.version.max(version);
         self.write_watch(now, n);
     }
 
-    /// Writes what the watch has not had yet.
+    /// Writes the versions that a watch does not have yet.
     pub(crate) fn write_watch(&mut self, now: f64, n: usize) {
         let version = self.discovery.agents[n].version;
         if self.discovery.agents[n].silent {
             return;
         }
         for at in 0..self.discovery.agents[n].watches.len() {
-            let Watch { link, written } = self.discovery.agents[n].watches[at];
-            if written < version {
-                let list = self.discovery.listing(n, false, written);
-                self.discovery.agents[n].watches[at].written = version;
-                self.chunk(now, link, &format!("{list}\n"));
+            let Watch { link, written_version } = self.discovery.agents[n].watches[at];
+            if written_version < version {
+                let list = self.discovery.node_list(n, false, written_version);
+                self.discovery.agents[n].watches[at].written_version = version;
+                self.send_chunk(now, link, &format!("{list}\n"));
             }
         }
     }
 
-    fn chunk(&mut self, now: f64, link: LinkKey, text: &str) {
+    /// Writes an HTTP chunk.
+    fn send_chunk(&mut self, now: f64, link: LinkKey, text: &str) {
         self.send_bytes(now, link, format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
     }
 
+    /// Writes an empty line to an open watch and schedules the next one.
     pub(crate) fn send_heartbeat(&mut self, now: f64, n: usize, link: LinkKey) {
         if !self.discovery.agents[n].watches.iter().any(|watch| watch.link == link) {
             return;
         }
         if !self.discovery.agents[n].silent {
-            self.chunk(now, link, "\n");
+            self.send_chunk(now, link, "\n");
         }
-        self.queue.push(now + BEAT, Event::Heartbeat(n, link));
+        self.queue.push(now + HEARTBEAT_INTERVAL, Event::Heartbeat(n, link));
     }
 
-    /// `at` names the proxy's agent by the address that was dialled: the proxy's own, of the so-many-th generation.
+    /// A message has arrived at a proxy's agent. `at` is the index of the address to which the proxy has
+    /// connected.
     pub(crate) fn agent_receives(&mut self, now: f64, at: usize, key: LinkKey, message: Message) {
         let n = self.links[key].proxy;
         match message {
             Message::Connect => {
-                // The old address takes no new connection once there is another.
-                let answers = self.discovery.agents[n].address == at;
-                self.send(now, key, true, Message::ConnectResult(answers));
+                // An old address accepts no connections after a move.
+                let accepts = self.discovery.agents[n].address == at;
+                self.send(now, key, true, Message::ConnectResult(accepts));
             }
             Message::Bytes(bytes) => {
                 let agent = &mut self.discovery.agents[n];
                 if agent.silent {
                     return;
                 }
-                agent.line.extend_from_slice(&bytes);
-                let asked = String::from_utf8_lossy(&agent.line).into_owned();
-                if !asked.contains("\r\n\r\n") {
+                agent.request.extend_from_slice(&bytes);
+                let request = String::from_utf8_lossy(&agent.request).into_owned();
+                if !request.contains("\r\n\r\n") {
                     return;
                 }
-                agent.line.clear();
-                let since = asked
+                agent.request.clear();
+                let since = request
                     .split("since=")
                     .nth(1)
                     .and_then(|s| s.split([' ', '&']).next()?.parse::<u64>().ok());
                 let since = since.unwrap_or(0);
-                let told = agent.version - agent.offset;
-                // A version that was never told, or none: the whole list.
-                let whole = since == 0 || since > told;
-                let list = self.discovery.listing(n, whole, since + self.discovery.agents[n].offset);
+                let reported_version = agent.version - agent.version_offset;
+                // Without a version, or with one that was never written, the whole list is sent.
+                let whole = since == 0 || since > reported_version;
+                let list =
+                    self.discovery.node_list(n, whole, since + self.discovery.agents[n].version_offset);
                 let agent = &mut self.discovery.agents[n];
-                agent.watches.push(Watch { link: key, written: agent.version });
+                agent.watches.push(Watch { link: key, written_version: agent.version });
                 self.send_bytes(now, key, b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
-                self.chunk(now, key, &format!("{list}\n"));
-                self.queue.push(now + BEAT, Event::Heartbeat(n, key));
+                self.send_chunk(now, key, &format!("{list}\n"));
+                self.queue.push(now + HEARTBEAT_INTERVAL, Event::Heartbeat(n, key));
             }
             Message::End(_) => {
                 self.close_watch(now, n, key);
@@ -269,58 +282,61 @@
         }
     }
 
+    /// Closes a watch from the agent's side.
     pub(crate) fn close_watch(&mut self, now: f64, n: usize, key: LinkKey) {
         let agent = &mut self.discovery.agents[n];
         agent.watches.retain(|watch| watch.link != key);
         self.close_from_peer(now, key, EndKind::Closed);
     }
 
-    /// Discovery starts anew and counts its versions from one again; its watches end.
-    pub(crate) fn discovery_restarts(&mut self, now: f64) {
-        self.service.annotate(now, "discovery starts anew".into());
+    /// Restarts discovery: its watches are closed and its versions start from one.
+    pub(crate) fn restart_discovery(&mut self, now: f64) {
+        self.service.annotate(now, "discovery restarts".into());
         for n in 0..self.discovery.agents.len() {
             let agent = &mut self.discovery.agents[n];
-            agent.offset = agent.version - 1;
+            agent.version_offset = agent.version - 1;
             for watch in std::mem::take(&mut agent.watches) {
                 self.close_from_peer(now, watch.link, EndKind::Closed);
             }
         }
     }
 
-    /// The proxy's configuration names another address of discovery; the old one closes what is open a little later.
+    /// Moves a proxy's discovery agent to another address, which the proxy learns from its configuration.
+    /// Connections to the old address are closed 1.5 seconds later.
     pub(crate) fn move_discovery(&mut self, now: f64, proxy: usize) {
         let agent = &mut self.discovery.agents[proxy];
         agent.address += 1;
         let address = agent.address;
         for watch in &agent.watches {
-            self.queue.push(now + 1.5, Event::AgentCloses(proxy, watch.link));
+            self.queue.push(now + 1.5, Event::CloseWatch(proxy, watch.link));
         }
-        self.service.annotate(now, format!("proxy {proxy} is configured anew"));
+        self.service.annotate(now, format!("proxy {proxy} is reconfigured"));
         if self.proxies[proxy].listening {
             self.emit(Effect::Reconfigure(proxy, address));
         }
     }
 
-    /// Tells the Unix time at which the experiment begins, on hosts that live by the clock.
+    /// Sets the Unix time at which the experiment begins, for hosts in real time.
     pub fn set_epoch(&mut self, epoch: f64) {
         self.discovery.epoch = epoch;
     }
 
-    /// From this second on all machines' wall clocks are wrong by so many seconds.
+    /// Schedules a step of all machines' wall clocks: from `from` on, in seconds from the start, they are
+    /// `by` seconds ahead.
     pub fn schedule_clock_step(&mut self, from: f64, by: f64) {
         self.discovery.clock_step = (from, by);
     }
 
-    /// Tells where each proxy reaches each node; hosts choose the addresses.
+    /// Sets the addresses at which proxies reach nodes, given proxy and node; the host chooses them.
     pub fn set_node_addresses(&mut self, address: impl Fn(usize, usize) -> String) {
         for (p, row) in self.discovery.addresses.iter_mut().enumerate() {
-            for (n, one) in row.iter_mut().enumerate() {
-                *one = address(p, n);
+            for (n, entry) in row.iter_mut().enumerate() {
+                *entry = address(p, n);
             }
         }
     }
 
-    /// Which of its addresses discovery has for this proxy now.
+    /// The index of the address at which this proxy's agent accepts connections.
     pub fn discovery_address(&self, proxy: usize) -> usize {
         self.discovery.agents[proxy].address
     }
--- a/crates/dewhead-world/src/node_connections.rs
+++ b/crates/dewhead-world/src/node_connections.rs
@@ -263,7 +263,7 @@
     pub(crate) fn drain(&mut self, now: f64, node: usize) {
         self.nodes[node].state = NodeState::Draining;
         self.service.annotate(now, format!("node {node} starts to drain"));
-        self.change_listing(now, node, self.experiment.discovery.update_notice);
+        self.schedule_update(now, node, self.experiment.discovery.update_notice);
         let spread = self.experiment.node.drain_spread;
         for key in self.connections_at(node) {
             if self.connections[key].established {
@@ -289,7 +289,7 @@
         }
         self.nodes[node].reset(now);
         self.nodes[node].state = NodeState::Dead;
-        self.change_listing(now, node, self.experiment.discovery.failure_notice);
+        self.schedule_update(now, node, self.experiment.discovery.failure_notice);
     }
 
     /// Makes a node's machine vanish: nothing is sent any more, and no connection is closed.
@@ -299,7 +299,7 @@
             self.stop_counting(key);
         }
         self.nodes[node].state = NodeState::Silent;
-        self.change_listing(now, node, self.experiment.discovery.silent_notice);
+        self.schedule_update(now, node, self.experiment.discovery.silent_notice);
     }
 
     /// Starts a node's process, cold. Connections that an earlier process left open are reset.
@@ -311,7 +311,7 @@
             self.drop_connection(now, key, EndKind::Broken);
         }
         self.nodes[node].start(now);
-        self.change_listing(now, node, self.experiment.discovery.update_notice);
+        self.schedule_update(now, node, self.experiment.discovery.update_notice);
     }
 
     /// Ends the process of an overloaded cold node.
@@ -329,18 +329,18 @@
         if threshold <= 0.0 || self.nodes[node].queueing_delay(now) < threshold {
             return;
         }
-        let mut established = self.connections_at(node);
-        established.retain(|k| self.connections[*k].established);
+        let mut shed_candidates = self.connections_at(node);
+        shed_candidates.retain(|k| self.connections[*k].established);
         // Slots are reused, so the newest connections are found by the time at which their clients were
         // established.
         let since = |k: &ConnectionKey| {
             let client = self.connections[*k].client.and_then(|c| self.clients.get(c));
             client.map_or(0.0, |c| if c.state == ClientState::Established { c.established_at } else { now })
         };
-        established.sort_by(|a, b| since(b).total_cmp(&since(a)).then(a.cmp(b)));
+        shed_candidates.sort_by(|a, b| since(b).total_cmp(&since(a)).then(a.cmp(b)));
         let capacity = self.nodes[node].capacity(now);
         // Resets a twentieth at a time, so that the load falls before further connections are reset.
-        for key in established.iter().take(established.len().div_ceil(20)) {
+        for key in shed_candidates.iter().take(shed_candidates.len().div_ceil(20)) {
             if self.nodes[node].load() <= capacity {
                 break;
             }
--- a/crates/dewhead-world/src/nodes.rs
+++ b/crates/dewhead-world/src/nodes.rs
@@ -1,71 +1,84 @@
-//! A node's machine: work that comes in, piles up and is done, as a fluid. No connections here, only what they ask.
+//! A node's machine as a fluid queue: work arrives, is queued and gets done. Only the load of connections is
+//! modelled here; the connections themselves are in `node_connections`.
 
 use crate::experiment::{Machine, NodeBehaviour, Rules};
 use crate::random::RandomStream;
 use std::collections::VecDeque;
 
+/// The state of a node's process or machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum NodeState {
+    /// Serves and accepts calls.
     Up,
-    /// Serves what it has, takes nothing new.
+    /// Serves its connections and accepts no calls.
     Draining,
-    /// The process is gone: connects are refused.
+    /// No process runs: connections are refused.
     Dead,
-    /// The machine has vanished: nothing comes back.
+    /// The machine has vanished: nothing is answered.
     Silent,
 }
 
-/// A connection being set up: done once all work that was there before it, and its own, is done.
+/// A connection setup. It is done once its own work and all work queued before it are done.
 struct PendingSetup<C> {
-    mark: f64,
-    /// One core takes so long for it at the least.
-    earliest: f64,
+    /// The value of `Node::requested_work` up to which work must be done.
+    required_work: f64,
+    /// The earliest end, as one core needs this long.
+    earliest_end: f64,
     connection: C,
 }
 
+/// A node: its machine, the load of its connections and its queued work.
 pub struct Node<C> {
+    /// Index of the zone.
     pub zone: usize,
+    /// Number of the cell.
     pub cell: u64,
+    /// The current state.
     pub state: NodeState,
-    /// When the process last started; long ago at the beginning.
+    /// When the process last started; negative infinity for the first process.
     pub started_at: f64,
-    /// The part of the machine that a neighbour takes.
+    /// Fraction of the machine's capacity used by another service.
     pub neighbour_share: f64,
-    /// The part of new connections that it answers with an error at once.
+    /// Fraction of new connections that are answered with an error immediately.
     pub error_share: f64,
-    /// What all warm cores do, and one of them, in standard cores.
+    /// Capacity of all cores when warm, and of one core, in standard cores.
     pub warm_capacity: f64,
     pub core_speed: f64,
+    /// Limit of the number of connections.
     pub max_connections: usize,
-    /// Connections held, those being set up among them.
+    /// Number of connections, including those being set up.
     pub connections: usize,
     cold_share: f64,
-    warm_after: f64,
-    /// Load asked by what stands.
+    warm_up_time: f64,
+    /// Load of the established connections, in standard cores.
     load: f64,
-    /// Worth of what stands and is counted, by traffic type.
+    /// Revenue rate of the connections that count as served, by traffic type.
     revenue_rate: Vec<f64>,
-    /// Work asked since the start, and how much of it is not done yet, in core-seconds.
-    asked: f64,
-    pile: f64,
-    at: f64,
-    set_ups: VecDeque<PendingSetup<C>>,
-    /// While cold: what was asked by when, what could be done by then, and who brought how much.
-    cold: VecDeque<(f64, f64, f64)>,
+    /// Work requested since the start, and the part of it that is not done yet, in core-seconds.
+    requested_work: f64,
+    queued_work: f64,
+    /// The time up to which the queue has been advanced.
+    advanced_to: f64,
+    pending_setups: VecDeque<PendingSetup<C>>,
+    /// Samples while cold: the time, the work requested and the work possible until then.
+    cold_samples: VecDeque<(f64, f64, f64)>,
+    /// Connections received while cold: the time, the proxy and the load.
     pub cold_arrivals: VecDeque<(f64, usize, f64)>,
-    able: f64,
+    /// Work that the capacity has allowed since the start, in core-seconds.
+    possible_work: f64,
 }
 
 impl<C> Node<C> {
+    /// Creates a node on a machine of this type, with random values from its ranges.
     pub fn new(
         machine: &Machine,
-        ways: &NodeBehaviour,
+        behaviour: &NodeBehaviour,
         zone: usize,
         cell: u64,
         traffic_types: usize,
         random: &mut RandomStream,
     ) -> Node<C> {
-        let core = random.uniform_in(machine.speed);
+        let speed = random.uniform_in(machine.speed);
         Node {
             zone,
             cell,
@@ -73,139 +86,148 @@
             started_at: f64::NEG_INFINITY,
             neighbour_share: 0.0,
             error_share: 0.0,
-            warm_capacity: core * machine.cores,
-            core_speed: core,
-            max_connections: (ways.connections_per_core * machine.cores) as usize,
+            warm_capacity: speed * machine.cores,
+            core_speed: speed,
+            max_connections: (behaviour.connections_per_core * machine.cores) as usize,
             connections: 0,
             cold_share: random.uniform_in(machine.cold_share),
-            warm_after: random.uniform_in(machine.warm_up_time),
+            warm_up_time: random.uniform_in(machine.warm_up_time),
             load: 0.0,
             revenue_rate: vec![0.0; traffic_types],
-            asked: 0.0,
-            pile: 0.0,
-            at: 0.0,
-            set_ups: VecDeque::new(),
-            cold: VecDeque::new(),
+            requested_work: 0.0,
+            queued_work: 0.0,
+            advanced_to: 0.0,
+            pending_setups: VecDeque::new(),
+            cold_samples: VecDeque::new(),
             cold_arrivals: VecDeque::new(),
-            able: 0.0,
+            possible_work: 0.0,
         }
     }
 
-    /// The process starts anew: cold, with nothing in hand.
+    /// Starts a new process: cold, without connections or work.
     pub fn start(&mut self, now: f64) {
         self.state = NodeState::Up;
         self.started_at = now;
         self.reset(now);
     }
 
-    /// All that it held is gone with its process.
+    /// Discards all connections and work, because the process has ended.
     pub fn reset(&mut self, now: f64) {
         self.connections = 0;
         self.load = 0.0;
         self.revenue_rate.iter_mut().for_each(|w| *w = 0.0);
-        self.pile = 0.0;
-        self.at = now;
-        self.set_ups.clear();
-        self.cold.clear();
+        self.queued_work = 0.0;
+        self.advanced_to = now;
+        self.pending_setups.clear();
+        self.cold_samples.clear();
         self.cold_arrivals.clear();
     }
 
+    /// Whether the process has not reached its full capacity yet.
     pub fn is_cold(&self, now: f64) -> bool {
-        now - self.started_at < self.warm_after
+        now - self.started_at < self.warm_up_time
     }
 
-    /// What it can do now.
+    /// The current capacity, in standard cores.
     pub fn capacity(&self, now: f64) -> f64 {
-        let age = ((now - self.started_at) / self.warm_after).clamp(0.0, 1.0);
+        let age = ((now - self.started_at) / self.warm_up_time).clamp(0.0, 1.0);
         self.warm_capacity * (self.cold_share + (1.0 - self.cold_share) * age) * (1.0 - self.neighbour_share)
     }
 
+    /// The load of the established connections, in standard cores.
     pub fn load(&self) -> f64 {
         self.load
     }
 
-    /// Moves its work on to `now`.
+    /// Advances the queue to `now`.
     pub fn advance(&mut self, now: f64) {
-        let gap = now - self.at;
-        if gap <= 0.0 {
+        let elapsed = now - self.advanced_to;
+        if elapsed <= 0.0 {
             return;
         }
-        let able = self.capacity((self.at + now) / 2.0);
-        self.at = now;
-        self.asked += self.load * gap;
-        self.able += able * gap;
-        self.pile = (self.pile + (self.load - able) * gap).max(0.0);
+        let capacity = self.capacity((self.advanced_to + now) / 2.0);
+        self.advanced_to = now;
+        self.requested_work += self.load * elapsed;
+        self.possible_work += capacity * elapsed;
+        self.queued_work = (self.queued_work + (self.load - capacity) * elapsed).max(0.0);
     }
 
-    /// How long what is asked now waits until it is done.
+    /// The time until work that is requested now is done, in seconds.
     pub fn queueing_delay(&self, now: f64) -> f64 {
-        self.pile / self.capacity(now).max(1e-9)
+        self.queued_work / self.capacity(now).max(1e-9)
     }
 
-    /// The load of what stands changes.
-    pub fn change_load(&mut self, now: f64, by: f64) {
+    /// Changes the load by `delta` standard cores.
+    pub fn change_load(&mut self, now: f64, delta: f64) {
         self.advance(now);
-        self.load = (self.load + by).max(0.0);
+        self.load = (self.load + delta).max(0.0);
     }
 
-    /// A connection stands here from now on as far as clients are served, or no longer.
+    /// Changes the revenue rate that counts as served.
     pub fn add_served(&mut self, traffic_type: usize, revenue_rate: f64) {
         self.revenue_rate[traffic_type] = (self.revenue_rate[traffic_type] + revenue_rate).max(0.0);
     }
 
-    /// The worth of what stands, by traffic type.
+    /// The revenue rate that counts as served, by traffic type.
     pub fn served_revenue(&self) -> &[f64] {
         &self.revenue_rate
     }
 
-    /// A new connection's set-up begins.
+    /// Queues the setup of a connection.
     pub fn begin_setup(&mut self, now: f64, work: f64, connection: C) {
         self.advance(now);
-        self.asked += work;
-        self.pile += work;
-        self.set_ups.push_back(PendingSetup {
-            mark: self.asked,
-            earliest: now + work / self.core_speed,
+        self.requested_work += work;
+        self.queued_work += work;
+        self.pending_setups.push_back(PendingSetup {
+            required_work: self.requested_work,
+            earliest_end: now + work / self.core_speed,
             connection,
         });
     }
 
-    /// When the next set-up is done, as things stand.
+    /// The time at which the next setup is done if the load stays the same.
     pub fn next_setup_time(&self) -> Option<f64> {
-        let first = self.set_ups.front()?;
-        let left = (first.mark - (self.asked - self.pile)).max(0.0);
-        Some((self.at + left / self.capacity(self.at).max(1e-9)).max(first.earliest))
+        let next = self.pending_setups.front()?;
+        let remaining = (next.required_work - (self.requested_work - self.queued_work)).max(0.0);
+        Some(
+            (self.advanced_to + remaining / self.capacity(self.advanced_to).max(1e-9)).max(next.earliest_end),
+        )
     }
 
-    /// The next set-up, if it is done by now.
+    /// Removes the next setup and returns its connection, if it is done by now.
     pub fn pop_finished_setup(&mut self, now: f64) -> Option<C> {
         self.advance(now);
-        let first = self.set_ups.front()?;
-        let left = first.mark - (self.asked - self.pile);
-        if left > 1e-6 * self.warm_capacity || first.earliest > now + 1e-9 {
+        let next = self.pending_setups.front()?;
+        let remaining = next.required_work - (self.requested_work - self.queued_work);
+        if remaining > 1e-6 * self.warm_capacity || next.earliest_end > now + 1e-9 {
             return None;
         }
-        self.set_ups.pop_front().map(|s| s.connection)
+        self.pending_setups.pop_front().map(|s| s.connection)
     }
 
-    /// Whether a cold process falls over: asked more, within the rule's time, than so many times what it could do.
+    /// Whether a cold process crashes: whether the work requested over the rule's window exceeds the rule's
+    /// multiple of the work possible.
     pub fn check_cold_overload(&mut self, now: f64, rules: &Rules) -> bool {
         if !self.is_cold(now) {
-            self.cold.clear();
+            self.cold_samples.clear();
             self.cold_arrivals.clear();
             return false;
         }
         self.advance(now);
-        self.cold.push_back((now, self.asked, self.able));
-        while self.cold.get(1).is_some_and(|(at, ..)| *at <= now - rules.overload_window) {
-            self.cold.pop_front();
+        self.cold_samples.push_back((now, self.requested_work, self.possible_work));
+        while self.cold_samples.get(1).is_some_and(|(at, ..)| *at <= now - rules.overload_window) {
+            self.cold_samples.pop_front();
         }
         while self.cold_arrivals.front().is_some_and(|(at, ..)| *at < now - rules.overload_window) {
             self.cold_arrivals.pop_front();
         }
-        let Some((since, asked, able)) = self.cold.front() else { return false };
-        let whole = now - since >= rules.overload_window * 0.99;
-        // A little slack for chance: a tenth of a second of a warm machine's work.
-        whole && self.asked - asked > rules.overload_multiple * (self.able - able) + 0.1 * self.warm_capacity
+        let Some((window_start, requested_work, possible_work)) = self.cold_samples.front() else {
+            return false;
+        };
+        let spans_window = now - window_start >= rules.overload_window * 0.99;
+        // The tolerance for random variation is a tenth of a second of a warm machine's work.
+        spans_window
+            && self.requested_work - requested_work
+                > rules.overload_multiple * (self.possible_work - possible_work) + 0.1 * self.warm_capacity
     }
 }
--- a/crates/dewhead-world/src/troubles/discovery_late.rs
+++ b/crates/dewhead-world/src/troubles/discovery_late.rs
@@ -12,9 +12,9 @@
 
 fn act(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
-        world.discovery.late += trouble.magnitude;
+        world.discovery.extra_delay += trouble.magnitude;
         return Some(now + trouble.duration);
     }
-    world.discovery.late -= trouble.magnitude;
+    world.discovery.extra_delay -= trouble.magnitude;
     None
 }
--- a/crates/dewhead-world/src/troubles/discovery_restart.rs
+++ b/crates/dewhead-world/src/troubles/discovery_restart.rs
@@ -11,6 +11,6 @@
 };
 
 fn act(world: &mut World, now: f64, _trouble: &Trouble, _n: usize, _stage: u32) -> Option<f64> {
-    world.discovery_restarts(now);
+    world.restart_discovery(now);
     None
 }
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -173,9 +173,9 @@
     /// The demand of this traffic type falls by this revenue rate.
     DemandEnds(usize, f64),
     DiscoveryUpdate(u64),
-    Agent(usize, u64),
+    AgentUpdate(usize, u64),
     Heartbeat(usize, LinkKey),
-    AgentCloses(usize, LinkKey),
+    CloseWatch(usize, LinkKey),
     StartProxy(usize),
     FrontPing(usize),
     FrontRemoves(usize, u64),
@@ -348,9 +348,9 @@
                 self.service.change_demand(now, traffic_type, -revenue_rate)
             }
             Event::DiscoveryUpdate(change) => self.apply_update(now, change),
-            Event::Agent(agent, version) => self.update_agent(now, agent, version),
+            Event::AgentUpdate(agent, version) => self.update_agent(now, agent, version),
             Event::Heartbeat(agent, link) => self.send_heartbeat(now, agent, link),
-            Event::AgentCloses(agent, link) => self.close_watch(now, agent, link),
+            Event::CloseWatch(agent, link) => self.close_watch(now, agent, link),
             Event::StartProxy(proxy) => self.emit_start(now, proxy),
             Event::FrontPing(proxy) => self.front_pings(now, proxy),
             Event::FrontRemoves(proxy, start) => self.front_removes(proxy, start),
