--- a/crates/dewhead-world/src/front.rs
+++ b/crates/dewhead-world/src/front.rs
@@ -1,41 +1,44 @@
-//! The front layer: it deals clients out among the proxies of their zone, takes a proxy in once that has answered
-//! `PING`, and learns late that one has died.
+//! The front layer: distributes clients over the proxies of their zone, adds a proxy once it has answered
+//! `PING`, and notices failures with a delay.
 
 use crate::random::RandomStream;
 use crate::world::{EndKind, Event, LinkKey, Message, Peer, Proxy, World};
 
+/// The state of the front layer.
 pub(crate) struct Front {
-    /// By zone: the proxies that it sends to.
+    /// By zone: the proxies that receive clients.
     zones: Vec<Vec<usize>>,
     random: RandomStream,
 }
 
-/// A proxy that has not answered is asked again after this.
-const ASK_AGAIN: f64 = 0.1;
+/// Delay until a proxy that has not answered is asked again, in seconds.
+const PING_RETRY_DELAY: f64 = 0.1;
 
 impl Front {
     pub(crate) fn new(proxies: &[Proxy], zones: usize, random: RandomStream) -> Front {
-        // A zone without a proxy of its own sends to the next one's.
+        // Zones beyond the number of proxies share the lists of the others.
         let mut front = Front { zones: vec![Vec::new(); zones], random };
         front.zones.truncate(zones.min(proxies.len()).max(1));
         front
     }
 
+    /// Draws a proxy for a client of this zone.
     pub(crate) fn proxy_for(&mut self, zone: usize) -> Option<usize> {
         let zone = zone % self.zones.len();
-        // With none of its own left, a zone's clients go to the others'.
-        let all: Vec<usize> = if self.zones[zone].is_empty() {
+        // Without a proxy of its own, a zone uses those of all zones.
+        let candidates: Vec<usize> = if self.zones[zone].is_empty() {
             self.zones.iter().flatten().copied().collect()
         } else {
             self.zones[zone].clone()
         };
-        if all.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        Some(all[self.random.index(all.len())])
+        Some(candidates[self.random.index(candidates.len())])
     }
 
-    fn drop_proxy(&mut self, proxy: usize) {
+    /// Removes a proxy from all zones.
+    fn remove_proxy(&mut self, proxy: usize) {
         for zone in &mut self.zones {
             zone.retain(|p| *p != proxy);
         }
@@ -54,11 +57,12 @@
         self.send_bytes(now, link, b"PING\r\n");
     }
 
+    /// A message has arrived at the front layer.
     pub(crate) fn front_receives(&mut self, now: f64, key: LinkKey, message: Message) {
         let proxy = self.links[key].proxy;
         match message {
             Message::Bytes(bytes) if bytes.first() == Some(&b'P') => {
-                self.front.drop_proxy(proxy);
+                self.front.remove_proxy(proxy);
                 let zone = self.proxies[proxy].zone % self.front.zones.len();
                 self.front.zones[zone].push(proxy);
                 self.front.zones[zone].sort_unstable();
@@ -67,32 +71,32 @@
             Message::Bytes(_) | Message::Connect => {}
             Message::End(_) => {
                 self.close_from_peer(now, key, EndKind::Closed);
-                self.queue.push(now + ASK_AGAIN, Event::FrontPing(proxy));
+                self.queue.push(now + PING_RETRY_DELAY, Event::FrontPing(proxy));
             }
             Message::ConnectResult(_) => {
                 self.links.remove(key);
-                self.queue.push(now + ASK_AGAIN, Event::FrontPing(proxy));
+                self.queue.push(now + PING_RETRY_DELAY, Event::FrontPing(proxy));
             }
         }
     }
 
-    /// A process has died: the front goes on sending to it for a while.
+    /// A proxy has ended: the front layer sends it clients until it notices.
     pub(crate) fn front_notices_exit(&mut self, now: f64, proxy: usize) {
-        let late = self.front.random.uniform_in(self.experiment.front.failure_notice);
-        self.queue.push(now + late, Event::FrontRemoves(proxy, self.proxies[proxy].start_count));
+        let notice_delay = self.front.random.uniform_in(self.experiment.front.failure_notice);
+        self.queue.push(now + notice_delay, Event::FrontRemoves(proxy, self.proxies[proxy].start_count));
     }
 
-    /// A process is told to stop: new clients go on coming for a moment.
+    /// A proxy has been told to stop: the front layer sends it clients until it notices.
     pub(crate) fn front_notices_stop(&mut self, now: f64, proxy: usize) {
-        let late = self.front.random.uniform_in(self.experiment.front.stop_notice);
-        self.queue.push(now + late, Event::FrontRemoves(proxy, self.proxies[proxy].start_count));
+        let notice_delay = self.front.random.uniform_in(self.experiment.front.stop_notice);
+        self.queue.push(now + notice_delay, Event::FrontRemoves(proxy, self.proxies[proxy].start_count));
     }
 
-    /// The front has noticed, unless the proxy serves again by now.
+    /// Removes a proxy, unless it has started to serve again.
     pub(crate) fn front_removes(&mut self, proxy: usize, start: u64) {
-        let one = &self.proxies[proxy];
-        if !one.listening || one.start_count == start && one.is_stopping() {
-            self.front.drop_proxy(proxy);
+        let proxy_state = &self.proxies[proxy];
+        if !proxy_state.listening || proxy_state.start_count == start && proxy_state.is_stopping() {
+            self.front.remove_proxy(proxy);
         }
     }
 }
--- a/crates/dewhead-world/src/lib.rs
+++ b/crates/dewhead-world/src/lib.rs
@@ -1,12 +1,13 @@
-//! A model of the world that a dewhead proxy serves, written from the published protocol: nodes, clients, the front
-//! layer, discovery and the network between them, and the troubles that befall them.
+//! A model of the world that a dewhead proxy serves, written from the published protocol: nodes, clients, the
+//! front layer, discovery, the network between them, and troubles.
 //!
-//! It has no I/O and no clock. A host tells [`world::World`] what proxies do on their links (dial, say, end) and at what
-//! time, and carries out the effects: bytes and ends that reach proxies, processes to start and signals to send. Times
-//! are seconds from the start of the experiment, loads are standard cores, revenue is a rate: units a second for each
-//! standard core of work that is served within the message target.
+//! The model does no I/O and reads no clock. A host reports to [`world::World`] what proxies do on their
+//! links (connect, write, end) and when, and carries out the effects: bytes and ends that reach proxies,
+//! processes to start and signals to send. Times are seconds from the start of the experiment, loads are
+//! standard cores, and revenue is a rate: units per second for each standard core of work that is served
+//! within the message target.
 //!
-//! The same seed gives the same trace, whatever host plays it: nothing here hangs on hash order, threads or a clock.
+//! The same seed gives the same trace on every host: nothing depends on hash order, threads or a clock.
 
 pub mod audit;
 pub mod clients;
--- a/crates/dewhead-world/src/network.rs
+++ b/crates/dewhead-world/src/network.rs
@@ -1,58 +1,65 @@
-//! What lies between machines: latency, messages cut anywhere, cut zones, slow links. Order on one link is kept.
+//! The network between machines: latency, messages split in transit, zone cuts and slow links. The order on
+//! each link is kept.
 
 use crate::experiment::Network as NetworkSettings;
 use crate::random::RandomStream;
 
+/// The state of the network.
 pub struct Network {
-    ways: NetworkSettings,
+    settings: NetworkSettings,
     random: RandomStream,
-    /// Pairs of zones that hear nothing of each other, lower first; one leaves when its cut ends.
-    cut: Vec<(usize, usize)>,
-    /// By how much all links are slower.
+    /// Pairs of zones that are cut off from each other, the lower first. A pair is stored once for each cut.
+    cuts: Vec<(usize, usize)>,
+    /// Multiplies the latency of all links.
     pub latency_factor: f64,
 }
 
 impl Network {
-    pub fn new(ways: &NetworkSettings, random: RandomStream) -> Network {
-        Network { ways: ways.clone(), random, cut: Vec::new(), latency_factor: 1.0 }
+    /// Creates the network without cuts.
+    pub fn new(settings: &NetworkSettings, random: RandomStream) -> Network {
+        Network { settings: settings.clone(), random, cuts: Vec::new(), latency_factor: 1.0 }
     }
 
-    /// One way between a proxy and a node, or another machine.
-    pub fn latency_between(&mut self, one: usize, other: usize) -> f64 {
-        let range = if one == other { self.ways.within_zone } else { self.ways.cross_zone };
+    /// Draws the one-way latency between two zones, in seconds.
+    pub fn latency_between(&mut self, zone: usize, other_zone: usize) -> f64 {
+        let range = if zone == other_zone { self.settings.within_zone } else { self.settings.cross_zone };
         self.random.uniform_in(range)
     }
 
+    /// Draws the one-way latency between a client and a proxy, in seconds.
     pub fn client_latency(&mut self) -> f64 {
-        self.random.uniform_in(self.ways.client)
+        self.random.uniform_in(self.settings.client)
     }
 
-    /// How long a message takes on a link of this latency now.
+    /// Draws the time that a message takes now on a link of this latency, in seconds.
     pub fn transit_time(&mut self, latency: f64) -> f64 {
-        latency * self.latency_factor * (1.0 + self.ways.jitter * self.random.uniform())
+        latency * self.latency_factor * (1.0 + self.settings.jitter * self.random.uniform())
     }
 
-    /// Where a message of so many bytes is cut, if it is.
+    /// Draws the position at which a message of this length is split, if it is.
     pub fn split_point(&mut self, length: usize) -> Option<usize> {
-        if length > 1 && self.ways.split_share > 0.0 && self.random.bernoulli(self.ways.split_share) {
+        if length > 1 && self.settings.split_share > 0.0 && self.random.bernoulli(self.settings.split_share) {
             Some(1 + self.random.index(length - 1))
         } else {
             None
         }
     }
 
-    pub fn cut(&mut self, one: usize, other: usize) {
-        self.cut.push((one.min(other), one.max(other)));
+    /// Cuts two zones off from each other.
+    pub fn cut(&mut self, zone: usize, other_zone: usize) {
+        self.cuts.push((zone.min(other_zone), zone.max(other_zone)));
     }
 
-    pub fn restore(&mut self, one: usize, other: usize) {
-        let pair = (one.min(other), one.max(other));
-        if let Some(at) = self.cut.iter().position(|c| *c == pair) {
-            self.cut.swap_remove(at);
+    /// Ends one cut between two zones.
+    pub fn restore(&mut self, zone: usize, other_zone: usize) {
+        let pair = (zone.min(other_zone), zone.max(other_zone));
+        if let Some(at) = self.cuts.iter().position(|c| *c == pair) {
+            self.cuts.swap_remove(at);
         }
     }
 
-    pub fn is_cut(&self, one: usize, other: usize) -> bool {
-        !self.cut.is_empty() && self.cut.contains(&(one.min(other), one.max(other)))
+    /// Whether two zones are cut off from each other.
+    pub fn is_cut(&self, zone: usize, other_zone: usize) -> bool {
+        !self.cuts.is_empty() && self.cuts.contains(&(zone.min(other_zone), zone.max(other_zone)))
     }
 }
--- a/crates/dewhead-world/src/nodes.rs
+++ b/crates/dewhead-world/src/nodes.rs
@@ -221,13 +221,11 @@
         while self.cold_arrivals.front().is_some_and(|(at, ..)| *at < now - rules.overload_window) {
             self.cold_arrivals.pop_front();
         }
-        let Some((window_start, requested_work, possible_work)) = self.cold_samples.front() else {
-            return false;
-        };
+        let Some((window_start, requested, possible)) = self.cold_samples.front() else { return false };
         let spans_window = now - window_start >= rules.overload_window * 0.99;
         // The tolerance for random variation is a tenth of a second of a warm machine's work.
         spans_window
-            && self.requested_work - requested_work
-                > rules.overload_multiple * (self.possible_work - possible_work) + 0.1 * self.warm_capacity
+            && self.requested_work - requested
+                > rules.overload_multiple * (self.possible_work - possible) + 0.1 * self.warm_capacity
     }
 }
--- a/crates/dewhead-world/src/queue.rs
+++ b/crates/dewhead-world/src/queue.rs
@@ -1,10 +1,10 @@
-//! What is to happen, in the order of its time; what falls on one instant happens in the order it was put in.
+//! The event queue, ordered by time. Events of the same time keep the order in which they were added.
 
 use slab::Slab;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Small, as the heap moves its entries about; what is to happen lies still in a slot until then.
+/// A heap entry. The event itself stays in a slot, since the heap moves its entries.
 struct Entry {
     at: f64,
     order: u64,
@@ -23,12 +23,13 @@
     }
 }
 impl Ord for Entry {
-    /// Reversed, as the heap gives its greatest first.
+    /// Reversed, because the heap returns its greatest entry first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.at.total_cmp(&self.at).then(other.order.cmp(&self.order))
     }
 }
 
+/// A queue of events with their times.
 pub struct EventQueue<T> {
     heap: BinaryHeap<Entry>,
     order: u64,
@@ -42,18 +43,19 @@
 }
 
 impl<T> EventQueue<T> {
-    pub fn push(&mut self, at: f64, what: T) {
+    /// Adds an event.
+    pub fn push(&mut self, at: f64, event: T) {
         self.order += 1;
-        let slot = self.slots.insert(what);
+        let slot = self.slots.insert(event);
         self.heap.push(Entry { at, order: self.order, slot });
     }
 
-    /// When the next is due.
+    /// The time of the next event.
     pub fn next_time(&self) -> Option<f64> {
         self.heap.peek().map(|e| e.at)
     }
 
-    /// The next, if it is due by now.
+    /// Removes the next event if it is due by `now`, and returns its time and the event.
     pub fn pop_due(&mut self, now: f64) -> Option<(f64, T)> {
         if self.next_time()? > now {
             return None;
@@ -62,10 +64,12 @@
         Some((entry.at, self.slots.remove(entry.slot)))
     }
 
+    /// The number of events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
+    /// Whether there are no events.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
--- a/crates/dewhead-world/src/random.rs
+++ b/crates/dewhead-world/src/random.rs
@@ -1,11 +1,11 @@
-//! All chance of a world. Each subject draws from a stream of its own, so that two plays of one seed that differ in what
-//! proxies decide still meet the same clients, loads and troubles.
+//! The random numbers of a world. Each subject has its own stream, so that two runs with the same seed have
+//! the same clients, loads and troubles even if the proxies decide differently.
 
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal, Pareto};
 use rand_pcg::Pcg64;
 
-/// What a stream is for.
+/// The subject of a stream.
 #[derive(Clone, Copy, Debug)]
 pub enum StreamPurpose {
     Arrivals = 1,
@@ -20,68 +20,73 @@
     Search,
 }
 
+/// A seeded stream of random numbers.
 #[derive(Clone, Debug)]
 pub struct RandomStream(Pcg64);
 
 impl RandomStream {
-    /// The `n`-th stream for this purpose.
-    pub fn new(seed: u64, what: StreamPurpose, n: u64) -> RandomStream {
-        let mixed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ n.wrapping_mul(0xd134_2543_de82_ef95);
-        RandomStream(Pcg64::seed_from_u64(mixed ^ (what as u64) << 56))
+    /// The stream of this purpose with this index.
+    pub fn new(seed: u64, purpose: StreamPurpose, index: u64) -> RandomStream {
+        let mixed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ index.wrapping_mul(0xd134_2543_de82_ef95);
+        RandomStream(Pcg64::seed_from_u64(mixed ^ (purpose as u64) << 56))
     }
 
-    /// From 0 to 1, without 1.
+    /// Uniform in [0, 1).
     pub fn uniform(&mut self) -> f64 {
         self.0.random::<f64>()
     }
 
-    pub fn bernoulli(&mut self, share: f64) -> bool {
-        self.uniform() < share
+    /// True with the given probability.
+    pub fn bernoulli(&mut self, probability: f64) -> bool {
+        self.uniform() < probability
     }
 
-    pub fn uniform_in(&mut self, [least, most]: [f64; 2]) -> f64 {
-        least + (most - least) * self.uniform()
+    /// Uniform in a range.
+    pub fn uniform_in(&mut self, [low, high]: [f64; 2]) -> f64 {
+        low + (high - low) * self.uniform()
     }
 
-    /// A place in a list of so many; 0 for an empty one.
-    pub fn index(&mut self, of: usize) -> usize {
-        ((self.uniform() * of as f64) as usize).min(of.saturating_sub(1))
+    /// A uniform index into a list of this length; 0 for an empty list.
+    pub fn index(&mut self, length: usize) -> usize {
+        ((self.uniform() * length as f64) as usize).min(length.saturating_sub(1))
     }
 
+    /// 64 random bits.
     pub fn next_u64(&mut self) -> u64 {
         self.0.random::<u64>()
     }
 
-    /// A gap between events that come at random, by its mean.
+    /// Exponentially distributed with this mean, as the time between independent events.
     pub fn exponential(&mut self, mean: f64) -> f64 {
-        let one: f64 = Exp1.sample(&mut self.0);
-        one * mean
+        let unit: f64 = Exp1.sample(&mut self.0);
+        unit * mean
     }
 
-    /// Around 1, with this sigma of the logarithm; the mean is 1.
+    /// Lognormally distributed with mean 1 and this standard deviation of the logarithm.
     pub fn lognormal(&mut self, sigma: f64) -> f64 {
         match LogNormal::new(-sigma * sigma / 2.0, sigma) {
-            Ok(spread) if sigma > 0.0 => spread.sample(&mut self.0),
+            Ok(distribution) if sigma > 0.0 => distribution.sample(&mut self.0),
             _ => 1.0,
         }
     }
 
-    /// With a heavy tail of this shape (over 1), the mean 1; capped at 200 times the mean, as nobody stays for ever.
+    /// Pareto distributed with mean 1 and this shape (over 1), limited to 200 so that no lifetime is
+    /// unbounded.
     pub fn pareto(&mut self, shape: f64) -> f64 {
         match Pareto::new((shape - 1.0) / shape, shape) {
-            Ok(tail) if shape > 1.0 => tail.sample(&mut self.0).min(200.0),
+            Ok(distribution) if shape > 1.0 => distribution.sample(&mut self.0).min(200.0),
             _ => 1.0,
         }
     }
 
-    /// A place by weights; the last where they sum to nothing.
+    /// An index with probability proportional to its weight; the last one if the weights sum to 0.
     pub fn weighted_index(&mut self, weights: impl Iterator<Item = f64> + Clone) -> usize {
-        let mut left = self.uniform() * weights.clone().sum::<f64>();
+        let mut remaining = self.uniform() * weights.clone().sum::<f64>();
         let mut last = 0;
-        for (at, weight) in weights.enumerate() {
-            last = at;
-            left -= weight;
-            if left < 0.0 {
+        for (position, weight) in weights.enumerate() {
+            last = position;
+            remaining -= weight;
+            if remaining < 0.0 {
                 break;
             }
         }
--- a/crates/dewhead-world/src/service.rs
+++ b/crates/dewhead-world/src/service.rs
@@ -1,108 +1,124 @@
-//! What clients asked for and what they got: revenue by the second, set-up times, and what became of calls.
+//! The measurements of a run: revenue per second, setup times and the outcomes of calls.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// A rate that changes now and then, summed up by the second.
+/// A rate that changes at times, integrated for each second.
 #[derive(Default)]
-struct Meter {
+struct RateMeter {
     rate: f64,
-    at: f64,
+    advanced_to: f64,
     seconds: Vec<f64>,
 }
 
-impl Meter {
+impl RateMeter {
+    /// Changes the rate at `now`.
     fn set(&mut self, now: f64, rate: f64) {
-        self.flow(now);
+        self.advance(now);
         self.rate = rate;
     }
 
-    fn flow(&mut self, now: f64) {
-        while self.at < now {
-            let second = self.at.floor() as usize;
+    /// Integrates the current rate up to `now`.
+    fn advance(&mut self, now: f64) {
+        while self.advanced_to < now {
+            let second = self.advanced_to.floor() as usize;
             let end = (second as f64 + 1.0).min(now);
             if self.seconds.len() <= second {
                 self.seconds.resize(second + 1, 0.0);
             }
-            self.seconds[second] += self.rate * (end - self.at);
-            self.at = end;
+            self.seconds[second] += self.rate * (end - self.advanced_to);
+            self.advanced_to = end;
         }
     }
 }
 
-/// How calls ended, and what else is counted.
+/// The number of calls by outcome, and other counts.
 #[derive(Clone, Default, Debug, Serialize)]
 pub struct Counts {
-    /// Clients that came, and calls that they made.
+    /// Clients that arrived, and calls that they made.
     pub clients: u64,
     pub calls: u64,
+    /// Calls answered with `UP`, with `BUSY`, and with an error or the end of the connection.
     pub completed: u64,
     pub rejected: u64,
     pub failed: u64,
-    /// No answer when the client's time was up, and no proxy reached.
+    /// Calls without an answer by the client's deadline, and calls that reached no proxy.
     pub unanswered: u64,
     pub unreachable: u64,
-    /// Clients that tried no more.
+    /// Clients that gave up.
     pub lost_clients: u64,
-    /// Standing connections told to move, broken, ended by their client.
+    /// Established connections that ended with `MOVE`, by a failure, and by their client.
     pub moved: u64,
     pub broken: u64,
     pub ended: u64,
+    /// Legs that reached a node, and those of them that crossed zones.
     pub legs: u64,
     #[serde(rename = "crossing_legs")]
     pub cross_zone_legs: u64,
+    /// Setups that took longer than the target.
     #[serde(rename = "late_set_ups")]
     pub late_setups: u64,
+    /// Cold nodes that crashed from overload.
     #[serde(rename = "nodes_fallen")]
     pub nodes_crashed: u64,
+    /// Clients that sent no valid request, and those of them that got no answer and no end in time.
     #[serde(rename = "bad_clients")]
     pub misbehaving_clients: u64,
     #[serde(rename = "bad_left")]
     pub misbehaving_clients_unanswered: u64,
 }
 
+/// Collects the measurements during a run.
 pub struct ServiceMetrics {
     traffic_types: usize,
-    wanted: Vec<Meter>,
-    served: Vec<Meter>,
+    demand: Vec<RateMeter>,
+    served: Vec<RateMeter>,
+    /// By traffic type: the setup times in microseconds.
     pub setup_times: Vec<Histogram<u64>>,
+    /// The counts so far.
     pub counts: Counts,
-    /// By the second: load, capacity and connections of each node; connections of each proxy; moves and restarts.
+    /// Samples for each second: load, capacity and connections of each node, then connections of each proxy.
     pub nodes: Vec<Vec<(f32, f32, u32)>>,
     pub proxies: Vec<Vec<u32>>,
+    /// Events of the run, such as restarts, with their times.
     pub annotations: Vec<(f64, String)>,
 }
 
-/// What a run comes to.
+/// The results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// Revenue served well over revenue asked for.
+    /// Revenue served within the message target, as a fraction of the demand.
     pub service: f64,
-    /// The same in the worst ten seconds, and of the worst traffic type.
+    /// The same in the worst ten seconds.
     #[serde(rename = "worst_ten")]
     pub worst_ten_seconds: f64,
+    /// The same for the worst traffic type.
     pub worst_type: f64,
+    /// The same for each traffic type.
     pub by_type: Vec<f64>,
-    /// Set-up times in seconds: median, 99 and 99.9 in a hundred.
+    /// Setup times in seconds: the median and the 99th and 99.9th percentiles.
     #[serde(rename = "set_up")]
     pub setup_times: [f64; 3],
-    /// Set-up times in milliseconds at some parts of all.
+    /// The distribution of setup times: quantiles, and times in milliseconds.
     #[serde(rename = "quantiles")]
     pub setup_quantiles: Vec<(f64, f64)>,
+    /// The counts of the run.
     pub counts: Counts,
-    /// Revenue wanted and served, by the second.
+    /// Revenue demanded in each second.
     #[serde(rename = "wanted")]
     pub demand: Vec<f64>,
+    /// Revenue served in each second.
     pub served: Vec<f64>,
 }
 
 impl ServiceMetrics {
+    /// Creates empty measurements.
     pub fn new(traffic_types: usize, nodes: usize, proxies: usize) -> ServiceMetrics {
-        let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are sound");
+        let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid");
         ServiceMetrics {
             traffic_types,
-            wanted: (0..traffic_types).map(|_| Meter::default()).collect(),
-            served: (0..traffic_types).map(|_| Meter::default()).collect(),
+            demand: (0..traffic_types).map(|_| RateMeter::default()).collect(),
+            served: (0..traffic_types).map(|_| RateMeter::default()).collect(),
             setup_times: (0..traffic_types).map(|_| histogram()).collect(),
             counts: Counts::default(),
             nodes: vec![Vec::new(); nodes],
@@ -111,68 +127,72 @@
         }
     }
 
-    /// A client wants service of this worth from now on, or no longer.
+    /// Changes the demand for a traffic type by this revenue rate.
     pub fn change_demand(&mut self, now: f64, traffic_type: usize, revenue_rate: f64) {
-        let rate = self.wanted[traffic_type].rate + revenue_rate;
-        self.wanted[traffic_type].set(now, rate);
+        let rate = self.demand[traffic_type].rate + revenue_rate;
+        self.demand[traffic_type].set(now, rate);
     }
 
-    /// What is served well from now on, by traffic type.
+    /// Sets the revenue rates that are served within the message target from now on, by traffic type.
     pub fn set_served_rates(&mut self, now: f64, rates: &[f64]) {
         for (meter, rate) in self.served.iter_mut().zip(rates) {
             meter.set(now, *rate);
         }
     }
 
-    pub fn record_setup(&mut self, traffic_type: usize, took: f64, target: f64) {
-        self.setup_times[traffic_type].saturating_record((took * 1e6).max(1.0) as u64);
-        if took > target {
+    /// Records a setup time, in seconds.
+    pub fn record_setup(&mut self, traffic_type: usize, duration: f64, target: f64) {
+        self.setup_times[traffic_type].saturating_record((duration * 1e6).max(1.0) as u64);
+        if duration > target {
             self.counts.late_setups += 1;
         }
     }
 
-    pub fn annotate(&mut self, now: f64, what: String) {
-        // Told for the reader of a report, who reads a few dozen at the most.
+    /// Adds an event to the annotations.
+    pub fn annotate(&mut self, now: f64, description: String) {
+        // The annotations are for the readers of a report, who need a few dozen at most.
         if self.annotations.len() < 500 {
-            self.annotations.push((now, what));
+            self.annotations.push((now, description));
         }
     }
 
-    /// Sums up what lies between two times.
+    /// Computes the results for the time between `from` and `to`, in seconds.
     pub fn outcome(&mut self, from: f64, to: f64) -> Outcome {
-        self.wanted.iter_mut().chain(&mut self.served).for_each(|m| m.flow(to));
+        self.demand.iter_mut().chain(&mut self.served).for_each(|m| m.advance(to));
         let (from, to) = (from.ceil() as usize, to.floor() as usize);
-        let sum =
-            |meter: &Meter, from: usize, to: usize| meter.seconds.iter().take(to).skip(from).sum::<f64>();
-        let share = |served: f64, wanted: f64| if wanted > 0.0 { (served / wanted).min(1.0) } else { 1.0 };
-        let both = |traffic_types: std::ops::Range<usize>, from, to| {
-            let served: f64 = self.served[traffic_types.clone()].iter().map(|m| sum(m, from, to)).sum();
-            let wanted: f64 = self.wanted[traffic_types].iter().map(|m| sum(m, from, to)).sum();
-            share(served, wanted)
+        let total =
+            |meter: &RateMeter, from: usize, to: usize| meter.seconds.iter().take(to).skip(from).sum::<f64>();
+        let served_fraction =
+            |served: f64, demand: f64| if demand > 0.0 { (served / demand).min(1.0) } else { 1.0 };
+        let service_share = |traffic_types: std::ops::Range<usize>, from, to| {
+            let served: f64 = self.served[traffic_types.clone()].iter().map(|m| total(m, from, to)).sum();
+            let demand: f64 = self.demand[traffic_types].iter().map(|m| total(m, from, to)).sum();
+            served_fraction(served, demand)
         };
-        let by_type: Vec<f64> = (0..self.traffic_types).map(|k| both(k..k + 1, from, to)).collect();
-        let windows = from..=to.saturating_sub(10).max(from);
-        let mut all = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("the bounds are sound");
-        for one in &self.setup_times {
-            all.add(one).expect("they have the same bounds");
+        let by_type: Vec<f64> = (0..self.traffic_types).map(|k| service_share(k..k + 1, from, to)).collect();
+        let window_starts = from..=to.saturating_sub(10).max(from);
+        let mut combined = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid");
+        for times in &self.setup_times {
+            combined.add(times).expect("all histograms have the same bounds");
         }
-        let at = |part: f64| all.value_at_quantile(part) as f64 / 1e6;
-        let second = |meters: &[Meter], s: usize| meters.iter().map(|m| sum(m, s, s + 1)).sum::<f64>();
+        let quantile_seconds = |quantile: f64| combined.value_at_quantile(quantile) as f64 / 1e6;
+        let sum_in_second =
+            |meters: &[RateMeter], s: usize| meters.iter().map(|m| total(m, s, s + 1)).sum::<f64>();
         Outcome {
-            service: both(0..self.traffic_types, from, to),
-            worst_ten_seconds: windows
-                .map(|w| both(0..self.traffic_types, w, (w + 10).min(to)))
+            service: service_share(0..self.traffic_types, from, to),
+            worst_ten_seconds: window_starts
+                .map(|w| service_share(0..self.traffic_types, w, (w + 10).min(to)))
                 .fold(1.0, f64::min),
             worst_type: by_type.iter().copied().fold(1.0, f64::min),
             by_type,
-            setup_times: [at(0.5), at(0.99), at(0.999)],
-            setup_quantiles: all
+            setup_times: [quantile_seconds(0.5), quantile_seconds(0.99), quantile_seconds(0.999)],
+            setup_quantiles: combined
                 .iter_quantiles(4)
                 .map(|v| (v.quantile(), v.value_iterated_to() as f64 / 1e3))
                 .collect(),
             counts: self.counts.clone(),
-            demand: (0..to).map(|s| second(&self.wanted, s)).collect(),
-            served: (0..to).map(|s| second(&self.served, s)).collect(),
+            demand: (0..to).map(|s| sum_in_second(&self.demand, s)).collect(),
+            served: (0..to).map(|s| sum_in_second(&self.served, s)).collect(),
         }
     }
 }
