--- a/crates/dewhead-world/src/troubles/alone.rs
+++ b/crates/dewhead-world/src/troubles/alone.rs
@@ -1,19 +1,20 @@
-//! All proxies but one are stopped at once and come back after a while; the one that stays carries everything.
+//! All proxies but one are stopped at once and start again later. The remaining one serves all clients.
 
 use super::TroubleKind;
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
+/// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "alone",
     description: "all proxies but one get SIGTERM and start again after 'lasts' seconds",
-    act,
+    on_stage,
 };
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
-        let stays = world.trouble_random[n].index(world.proxies.len());
-        let others: Vec<usize> = (0..world.proxies.len()).filter(|p| *p != stays).collect();
+        let remaining = world.trouble_random[n].index(world.proxies.len());
+        let others: Vec<usize> = (0..world.proxies.len()).filter(|p| *p != remaining).collect();
         for proxy in &others {
             world.signal(now, *proxy, Signal::Stop);
         }
--- a/crates/dewhead-world/src/troubles/bad_clients.rs
+++ b/crates/dewhead-world/src/troubles/bad_clients.rs
@@ -1,31 +1,35 @@
-//! Clients that send what can't be read, say nothing, or never end a line. Each is owed an error or a close.
+//! Clients that send no valid request, write nothing, or never complete a line. Each must be answered with an
+//! error or disconnected.
 
 use super::TroubleKind;
 use crate::experiment::Trouble;
 use crate::world::{EndKind, LinkKey, Message, Peer, World};
 
+/// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "bad-clients",
-    description: "'size' clients a second, over 'lasts' seconds, send what can't be read",
-    act,
+    description: "'size' clients per second send no valid request for 'lasts' seconds",
+    on_stage,
 };
 
-/// One is owed an end within this.
-const OWED: f64 = 3.0;
-/// They come in groups, this often.
-const EVERY: f64 = 0.1;
+/// Time within which such a client must be answered or disconnected, in seconds.
+const END_DEADLINE: f64 = 3.0;
+/// Interval between the groups in which they connect, in seconds.
+const GROUP_INTERVAL: f64 = 0.1;
 
-struct Bad {
+/// A client without an answer or end so far.
+struct MisbehavingClient {
     link: LinkKey,
-    since: f64,
+    connected_at: f64,
 }
 
-/// Those who have had no end yet; one leaves with its end, or once it is counted as left.
+/// The clients without an answer or end so far. A client is removed when it gets one or is counted as
+/// overdue.
 #[derive(Default)]
-pub struct Crowd(Vec<Bad>);
+pub struct MisbehavingClients(Vec<MisbehavingClient>);
 
-/// What they say, by turns.
-fn words(n: usize, call: u64) -> Vec<u8> {
+/// The request of the client of this kind, one of eight.
+fn request(n: usize, call: u64) -> Vec<u8> {
     match n % 8 {
         0 => b"GET / HTTP/1.1\r\n\r\n".to_vec(),
         1 => vec![b'x'; 20_000],
@@ -34,53 +38,59 @@
         4 => Vec::new(),
         5 => b"OPEN 9b1f".to_vec(),
         6 => [0u8, 159, 146, 150, b'\r', b'\n'].repeat(50),
-        // The id of a call that somebody else has open.
+        // The id of another client's open call.
         _ => format!("OPEN {call:016x} 7f c=none,d=1e9\r\n").into_bytes(),
     }
 }
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     let ends = trouble.at + trouble.duration;
-    let overdue = world.misbehaving.0.iter().filter(|b| now - b.since > OWED + 0.1).count();
+    let overdue = world.misbehaving.0.iter().filter(|b| now - b.connected_at > END_DEADLINE + 0.1).count();
     world.service.counts.misbehaving_clients_unanswered += overdue as u64;
-    let left: Vec<LinkKey> =
-        world.misbehaving.0.iter().filter(|b| now - b.since > OWED + 0.1).map(|b| b.link).collect();
-    world.misbehaving.0.retain(|b| now - b.since <= OWED + 0.1);
-    for link in left {
+    let overdue_links: Vec<LinkKey> = world
+        .misbehaving
+        .0
+        .iter()
+        .filter(|b| now - b.connected_at > END_DEADLINE + 0.1)
+        .map(|b| b.link)
+        .collect();
+    world.misbehaving.0.retain(|b| now - b.connected_at <= END_DEADLINE + 0.1);
+    for link in overdue_links {
         world.close_from_peer(now, link, EndKind::Closed);
     }
     if now < ends {
-        let many = trouble.magnitude * EVERY;
-        let many = many.floor() as usize + usize::from(world.trouble_random[n].bernoulli(many.fract()));
-        for _ in 0..many {
+        let count = trouble.magnitude * GROUP_INTERVAL;
+        let count = count.floor() as usize + usize::from(world.trouble_random[n].bernoulli(count.fract()));
+        for _ in 0..count {
             let proxy = world.trouble_random[n].index(world.proxies.len());
             if !world.proxies[proxy].listening {
                 continue;
             }
             let kind = world.trouble_random[n].index(8);
             let call = world.calls.keys().next().copied().unwrap_or(1);
-            come(world, now, proxy, stage, &words(kind, call));
+            connect(world, now, proxy, stage, &request(kind, call));
         }
     }
-    (now < ends + OWED + 0.5).then_some(now + EVERY)
+    (now < ends + END_DEADLINE + 0.5).then_some(now + GROUP_INTERVAL)
 }
 
-/// One that connects and says nothing.
-pub(super) fn silent(world: &mut World, now: f64, proxy: usize) {
-    come(world, now, proxy, 0, &[]);
+/// Connects a client that writes nothing.
+pub(super) fn connect_silent(world: &mut World, now: f64, proxy: usize) {
+    connect(world, now, proxy, 0, &[]);
 }
 
-fn come(world: &mut World, now: f64, proxy: usize, stage: u32, text: &[u8]) {
+/// Connects a client that writes this request.
+fn connect(world: &mut World, now: f64, proxy: usize, stage: u32, text: &[u8]) {
     let link = world.open_link(proxy, Peer::Misbehaving(stage as usize), 5e-4);
     world.send(now, link, true, Message::Connect);
     for piece in text.chunks(4096) {
         world.send_bytes(now, link, piece);
     }
     world.service.counts.misbehaving_clients += 1;
-    world.misbehaving.0.push(Bad { link, since: now });
+    world.misbehaving.0.push(MisbehavingClient { link, connected_at: now });
 }
 
-/// It has got something: a line or an end, either will do.
+/// A message has arrived at such a client; a line or an end is sufficient.
 pub(crate) fn receive(world: &mut World, now: f64, _n: usize, key: LinkKey, message: Message) {
     match message {
         Message::Connect => {}
--- a/crates/dewhead-world/src/troubles/discovery_silent.rs
+++ b/crates/dewhead-world/src/troubles/discovery_silent.rs
@@ -1,16 +1,17 @@
-//! Discovery says nothing for a while; its watches stay open.
+//! Discovery writes nothing for a while; its watches stay open.
 
 use super::{choose_proxies, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
+/// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "discovery-silent",
-    description: "the agents of 'part' of the proxies say nothing for 'lasts' seconds",
-    act,
+    description: "the agents of 'part' of the proxies write nothing for 'lasts' seconds",
+    on_stage,
 };
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
         for proxy in choose_proxies(world, trouble, n) {
             world.discovery.agents[proxy].silent = true;
--- a/crates/dewhead-world/src/troubles/fast_errors.rs
+++ b/crates/dewhead-world/src/troubles/fast_errors.rs
@@ -1,16 +1,17 @@
-//! Nodes that answer errors at once, and so look idle.
+//! Nodes answer with errors immediately, and therefore appear idle.
 
 use super::{choose_nodes, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
+/// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "fast-errors",
-    description: "'part' of the nodes answer ERR at once to all but one in 'size' new connections",
-    act,
+    description: "'part' of the nodes answer ERR immediately to all but one in 'size' new connections",
+    on_stage,
 };
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
         for node in choose_nodes(world, trouble, n) {
             world.nodes[node].error_share = 1.0 - 1.0 / trouble.magnitude.max(1.0);
--- a/crates/dewhead-world/src/troubles/neighbour.rs
+++ b/crates/dewhead-world/src/troubles/neighbour.rs
@@ -1,16 +1,17 @@
-//! Another service on the same machines takes part of them; nobody is told.
+//! Another service on the same machines uses part of their capacity, which is not reported anywhere.
 
 use super::{choose_nodes, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
+/// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "neighbour",
     description: "'part' of the nodes are 'size' times as slow as they were",
-    act,
+    on_stage,
 };
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
         for node in choose_nodes(world, trouble, n) {
             world.nodes[node].advance(now);
--- a/crates/dewhead-world/src/troubles/node_restart.rs
+++ b/crates/dewhead-world/src/troubles/node_restart.rs
@@ -1,16 +1,17 @@
-//! Node processes die, and start again cold.
+//! Node processes end and start again, cold.
 
 use super::{choose_nodes, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
+/// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "node-restart",
-    description: "'part' of the nodes die and start again, cold, after 'lasts' seconds",
-    act,
+    description: "the processes of 'part' of the nodes end and start again, cold, after 'lasts' seconds",
+    on_stage,
 };
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
         for node in choose_nodes(world, trouble, n) {
             world.kill_node(now, node);
--- a/crates/dewhead-world/src/troubles/node_silent.rs
+++ b/crates/dewhead-world/src/troubles/node_silent.rs
@@ -1,17 +1,18 @@
-//! Machines vanish without a word, and come back later with new processes.
+//! Machines vanish without closing their connections, and return later with new processes.
 
 use super::{choose_nodes, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::World;
 
+/// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "node-silent",
     description:
-        "'part' of the nodes' machines vanish without a word and are back, cold, after 'lasts' seconds",
-    act,
+        "the machines of 'part' of the nodes vanish without closing connections and return, cold, after 'lasts' seconds",
+    on_stage,
 };
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
         for node in choose_nodes(world, trouble, n) {
             world.silence_node(now, node);
--- a/crates/dewhead-world/src/troubles/restart_kill.rs
+++ b/crates/dewhead-world/src/troubles/restart_kill.rs
@@ -1,22 +1,24 @@
-//! Proxies are killed outright, in turn, and start again from nothing but the list that they last had.
+//! Proxies are killed in turn without being told to stop, and start again with only the node list that they
+//! last had.
 
-use super::{choose_proxies, next_turn, turn, TroubleKind};
+use super::{choose_proxies, current_batch, next_batch_time, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
+/// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "restart-kill",
-    description: "'part' of the proxies are killed within 'lasts' seconds, 'at_a_time' of them, and start again at once",
-    act,
+    description: "'part' of the proxies are killed within 'lasts' seconds, 'at_a_time' at a time, and start again at once",
+    on_stage,
 };
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
         choose_proxies(world, trouble, n);
     }
-    for proxy in turn(world, trouble, n, stage) {
+    for proxy in current_batch(world, trouble, n, stage) {
         world.signal(now, proxy, Signal::Kill);
         world.start_proxy(now, proxy);
     }
-    next_turn(world, trouble, n, stage)
+    next_batch_time(world, trouble, n, stage)
 }
--- a/crates/dewhead-world/src/troubles/restart_stop.rs
+++ b/crates/dewhead-world/src/troubles/restart_stop.rs
@@ -1,22 +1,23 @@
-//! Proxies are restarted in turn with SIGTERM, and killed where they do not end by themselves.
+//! Proxies are restarted in turn with SIGTERM, and killed if they do not exit by themselves.
 
-use super::{choose_proxies, kill_delay, next_turn, turn, TroubleKind};
+use super::{choose_proxies, current_batch, kill_delay, next_batch_time, TroubleKind};
 use crate::experiment::Trouble;
 use crate::world::{Signal, World};
 
+/// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "restart-stop",
     description:
-        "'part' of the proxies are restarted within 'lasts' seconds, 'at_a_time' of them, with SIGTERM",
-    act,
+        "'part' of the proxies are restarted within 'lasts' seconds, 'at_a_time' at a time, with SIGTERM",
+    on_stage,
 };
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
         choose_proxies(world, trouble, n);
     }
-    // Even stages stop, odd ones start.
-    let affected = turn(world, trouble, n, stage / 2);
+    // Even stages stop a batch of proxies; odd stages start it again.
+    let affected = current_batch(world, trouble, n, stage / 2);
     if stage.is_multiple_of(2) {
         for proxy in affected {
             world.signal(now, proxy, Signal::Stop);
@@ -27,5 +28,5 @@
         world.signal(now, proxy, Signal::Kill);
         world.start_proxy(now, proxy);
     }
-    next_turn(world, trouble, n, stage / 2)
+    next_batch_time(world, trouble, n, stage / 2)
 }
--- a/crates/dewhead-world/src/troubles/slow_network.rs
+++ b/crates/dewhead-world/src/troubles/slow_network.rs
@@ -1,13 +1,17 @@
-//! Everything takes longer on its way.
+//! The latency of all links increases.
 
 use super::TroubleKind;
 use crate::experiment::Trouble;
 use crate::world::World;
 
-pub const KIND: TroubleKind =
-    TroubleKind { name: "slow-network", description: "all links are 'size' times as slow", act };
+/// The kind of trouble that this module implements.
+pub const KIND: TroubleKind = TroubleKind {
+    name: "slow-network",
+    description: "the latency of all links is multiplied by 'size'",
+    on_stage,
+};
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
     if stage == 0 {
         world.network.latency_factor *= trouble.magnitude;
         return Some(now + trouble.duration);
--- a/crates/dewhead-world/src/troubles/zone_cut.rs
+++ b/crates/dewhead-world/src/troubles/zone_cut.rs
@@ -1,16 +1,18 @@
-//! Zones hear nothing of each other: what is open between them stays open and silent, and nothing new comes up.
+//! Zones are cut off from each other: open connections between them stay open and silent, and new ones are
+//! not established.
 
 use super::TroubleKind;
 use crate::experiment::Trouble;
 use crate::world::World;
 
+/// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "zone-cut",
-    description: "the zone 'zone' (the last if not told) is cut off from all others for 'lasts' seconds",
-    act,
+    description: "the zone 'zone' (default: the last) is cut off from all others for 'lasts' seconds",
+    on_stage,
 };
 
-fn act(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
+fn on_stage(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
     let zones = &world.experiment.fleet.zones;
     let cut = trouble
         .zone
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -221,7 +221,7 @@
     pub(crate) trouble_random: Vec<RandomStream>,
     /// By trouble: the nodes or proxies affected, kept between its stages.
     pub(crate) affected: BTreeMap<usize, Vec<usize>>,
-    pub(crate) misbehaving: crate::troubles::bad_clients::Crowd,
+    pub(crate) misbehaving: crate::troubles::bad_clients::MisbehavingClients,
     effects: Vec<Effect>,
     digest: crc32fast::Hasher,
     next_sample: f64,
@@ -354,7 +354,7 @@
             Event::StartProxy(proxy) => self.emit_start(now, proxy),
             Event::FrontPing(proxy) => self.front_pings(now, proxy),
             Event::FrontRemoves(proxy, start) => self.front_removes(proxy, start),
-            Event::Trouble(n, stage) => crate::troubles::stage(self, now, n, stage),
+            Event::Trouble(n, stage) => crate::troubles::run_stage(self, now, n, stage),
             Event::Sample => self.sample(now),
         }
     }
