--- a/crates/dewhead-world/src/audit.rs
+++ b/crates/dewhead-world/src/audit.rs
@@ -119,7 +119,7 @@
     proxy_ended_at: Option<f64>,
 }
 
-/// Whether a proxy's processes have been killed, and what they still owed their clients.
+/// Whether a proxy's processes have been killed, which determines the calls that they had to finish.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum KillState {
     NotKilled,
@@ -169,12 +169,13 @@
     trace: Vec<(f64, String)>,
 }
 
-/// What a proxy has been told about a node.
+/// What a proxy has been informed of about a node.
 struct NodeNotice {
-    /// When discovery told the proxy not to use the node, and the latest time by which it counts as told.
+    /// When discovery informed the proxy not to use the node, and the latest time by which it counts as
+    /// informed.
     unusable_at: Option<f64>,
     unusable_deadline: Option<f64>,
-    /// The node's latest start: its time, and when the proxy was told of it or counts as told.
+    /// The node's latest start: its time, and when the proxy was informed of it or counts as informed.
     start: Option<(f64, f64)>,
 }
 
@@ -216,7 +217,7 @@
 
 /// Tolerance added to each time limit, in seconds, for data in transit.
 const TIME_TOLERANCE: f64 = 0.05;
-/// Time after which a proxy counts as told of what its discovery agent knows, whether the update arrived or
+/// Time after which a proxy counts as informed of what its discovery agent knows, whether the update arrived or
 /// not, in seconds.
 const NOTICE_DEADLINE: f64 = 6.0;
 /// Longest time for which a proxy may hold a line back, in seconds.
@@ -306,11 +307,11 @@
     }
 
     /// Adds an observation to the trace of an open call.
-    fn record_trace(&mut self, now: f64, call: Option<u64>, what: impl FnOnce() -> String) {
+    fn record_trace(&mut self, now: f64, call: Option<u64>, describe: impl FnOnce() -> String) {
         if let Some(call) = call.and_then(|c| self.calls.get_mut(&c)) {
             // Bounds the trace: a connection that stays established for minutes forwards many lines.
             if call.trace.len() < 64 {
-                call.trace.push((now, what()));
+                call.trace.push((now, describe()));
             }
         }
     }
@@ -493,8 +494,8 @@
             return self.check_forwarded(now, id, leg, proxy, bytes);
         }
         if call.answered {
-            let what = format!("after its final answer the client was sent '{}'", text(bytes));
-            return self.report_violation(now, Rule::OneAnswer, proxy, Some(id), what);
+            let description = format!("after its final answer the client was sent '{}'", text(bytes));
+            return self.report_violation(now, Rule::OneAnswer, proxy, Some(id), description);
         }
         call.answer_line.extend_from_slice(bytes);
         let Some(end) = call.answer_line.iter().position(|b| *b == b'\n') else { return };
@@ -504,8 +505,8 @@
         let (deadline, traffic_type, legs) = (call.deadline, call.traffic_type, call.legs.clone());
         self.record_trace(now, Some(id), || format!("the client is sent '{}'", text(line.as_bytes())));
         if now > deadline + TIME_TOLERANCE + self.observation_slack {
-            let what = format!("its final answer came {:.3} s after its guard time", now - deadline);
-            self.report_violation(now, Rule::OneAnswer, proxy, Some(id), what);
+            let description = format!("its final answer came {:.3} s after its guard time", now - deadline);
+            self.report_violation(now, Rule::OneAnswer, proxy, Some(id), description);
         }
         match line.split(' ').next() {
             Some("UP") => {
@@ -522,8 +523,9 @@
                         self.check_forwarded(now, id, leg, proxy, &received);
                     }
                     None => {
-                        let what = format!("the client was sent '{line}', which no server wrote for it");
-                        self.report_violation(now, Rule::OneAnswer, proxy, Some(id), what);
+                        let description =
+                            format!("the client was sent '{line}', which no server wrote for it");
+                        self.report_violation(now, Rule::OneAnswer, proxy, Some(id), description);
                     }
                 }
             }
@@ -536,15 +538,16 @@
                     } || self.calls[&id].first_run.is_none()
                         && legs.iter().all(|l| self.leg_outcome(*l) == LegOutcome::NotRun);
                 if !may_reject {
-                    let what = "rejected, though a leg of it may have run".into();
-                    self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), what);
+                    let description = "rejected, though a leg of it may have run".into();
+                    self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), description);
                 }
             }
             _ => self.answer_counts[2] += 1,
         }
         if received.len() > end + 1 && self.calls.get(&id).is_some_and(|c| c.bound_leg.is_none()) {
-            let what = format!("after its final answer the client was sent '{}'", text(&received[end + 1..]));
-            self.report_violation(now, Rule::OneAnswer, proxy, Some(id), what);
+            let description =
+                format!("after its final answer the client was sent '{}'", text(&received[end + 1..]));
+            self.report_violation(now, Rule::OneAnswer, proxy, Some(id), description);
         }
     }
 
@@ -590,11 +593,11 @@
         call.proxy_line.extend_from_slice(bytes);
         let proxy_line = call.proxy_line.clone();
         if !b"MOVE\r\n".starts_with(&proxy_line[..]) {
-            let what = format!(
+            let description = format!(
                 "an established client was sent '{}', which its server did not write",
                 text(&proxy_line)
             );
-            self.report_violation(now, Rule::Lines, proxy, Some(id), what);
+            self.report_violation(now, Rule::Lines, proxy, Some(id), description);
         } else if proxy_line.len() == 6 {
             self.record_trace(now, Some(id), || "the client is sent 'MOVE'".into());
         }
@@ -608,8 +611,8 @@
             let matched = leg.to_server.matching_prefix(bytes);
             leg.to_server.forward(now, &bytes[..matched]);
             if matched < bytes.len() {
-                let what = "a server was sent other bytes than its client wrote".into();
-                self.report_violation(now, Rule::Lines, proxy, call, what);
+                let description = "a server was sent other bytes than its client wrote".into();
+                self.report_violation(now, Rule::Lines, proxy, call, description);
             }
             return;
         }
@@ -635,11 +638,11 @@
         let Some((id, call)) = id.and_then(|id| Some((id, self.calls.get_mut(&id)?))) else {
             let ended_recently = id.is_some_and(|id| self.recent_calls.iter().any(|(_, p)| *p == id));
             if !ended_recently {
-                let what = format!(
+                let description = format!(
                     "a leg to node {node} for a call that has ended or never arrived: '{}'",
                     text(open_line.as_bytes())
                 );
-                self.report_violation(now, Rule::OneAnswer, proxy, None, what);
+                self.report_violation(now, Rule::OneAnswer, proxy, None, description);
             }
             return;
         };
@@ -647,7 +650,7 @@
         call.legs.push(key);
         call.legs_sent += 1;
         let (sent, answered, restored) = (call.legs_sent, call.answered, call.restored);
-        self.record_trace(now, Some(id), || format!("leg {sent} goes to node {node}"));
+        self.record_trace(now, Some(id), || format!("leg {sent} is sent to node {node}"));
         if answered {
             return self.report_violation(
                 now,
@@ -662,8 +665,8 @@
         }
         self.count_cold_call(now, proxy, node);
         if sent > self.max_legs {
-            let what = format!("leg {sent}, where {} are allowed", self.max_legs);
-            self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), what);
+            let description = format!("leg {sent}, where {} are allowed", self.max_legs);
+            self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), description);
         }
         let outcomes: Vec<LegOutcome> = earlier.iter().map(|l| self.leg_outcome(*l)).collect();
         if !self.second_copies {
@@ -679,24 +682,25 @@
         match repeatability {
             Repeatability::Repeatable => {}
             Repeatability::OnceOnly if may_have_run => {
-                let what = "a further leg of a once-only call, though an earlier one may have run".into();
-                self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), what);
+                let description =
+                    "a further leg of a once-only call, though an earlier one may have run".into();
+                self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), description);
             }
             Repeatability::OnceOnly => {}
             Repeatability::Referenced => {
                 let (scope, window) = (*scope, *window);
-                if let Some((at, other)) = first_run {
+                if let Some((at, earlier_node)) = first_run {
                     let (earlier_location, this_location) =
-                        (self.node_locations[other], self.node_locations[node]);
+                        (self.node_locations[earlier_node], self.node_locations[node]);
                     let in_group = match scope {
                         Scope::All => true,
                         Scope::Zone => earlier_location.0 == this_location.0,
                         Scope::Cell => earlier_location == this_location,
                     };
                     if !in_group || now - at > window + TIME_TOLERANCE + self.observation_slack {
-                        let what =
+                        let description =
                             "a referenced call that may have run was sent outside its group or window".into();
-                        self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), what);
+                        self.report_violation(now, Rule::NoEffectTwice, proxy, Some(id), description);
                     }
                 }
             }
@@ -708,10 +712,10 @@
             .is_some_and(|at| first_byte_at > at + self.drain_grace + TIME_TOLERANCE + self.observation_slack)
         {
             let late = first_byte_at - unusable_at.unwrap_or(first_byte_at);
-            let what = format!(
-                "a leg to node {node}, {late:.3} s after the proxy was told that it is draining or gone"
+            let description = format!(
+                "a leg to node {node}, {late:.3} s after the proxy was informed that it is draining or gone"
             );
-            self.report_violation(now, Rule::Drains, proxy, Some(id), what);
+            self.report_violation(now, Rule::Drains, proxy, Some(id), description);
         }
         if let Some(call) = self.calls.get_mut(&id) {
             // The leg may run until its outcome shows otherwise.
@@ -719,19 +723,19 @@
         }
     }
 
-    /// Counts calls sent to a cold node by proxies that have been told of its start.
+    /// Counts calls sent to a cold node by proxies that have been informed of its start.
     fn count_cold_call(&mut self, now: f64, proxy: usize, node: usize) {
         let Some((started, notice)) = self.notices[proxy][node].start else { return };
         if notice > now || !started.is_finite() {
             return;
         }
-        let found = self.cold_nodes[node].record_call(now, started, self.cores[node], &self.cold_start);
-        if let Some((sent, limit)) = found {
-            let what = format!(
+        let exceeded = self.cold_nodes[node].record_call(now, started, self.cores[node], &self.cold_start);
+        if let Some((sent, limit)) = exceeded {
+            let description = format!(
                 "cold node {node} was sent {sent} requests in a window, {:.3} s after its start, with {limit:.1} allowed",
                 now - started
             );
-            self.report_violation(now, Rule::ColdNodes, proxy, None, what);
+            self.report_violation(now, Rule::ColdNodes, proxy, None, description);
         }
     }
 
@@ -897,9 +901,9 @@
                 _ => false,
             };
             if !moved && responding {
-                let what =
+                let description =
                     "an established connection was closed without MOVE while its server responds".into();
-                self.report_violation(now, Rule::NoCut, proxy, Some(id), what);
+                self.report_violation(now, Rule::NoCut, proxy, Some(id), description);
             }
         }
         self.finish_call(now, id);
@@ -910,8 +914,8 @@
         let Some(call) = self.calls.remove(&id) else { return };
         self.recent_calls.push_back((now, id));
         for leg in call.legs {
-            let gone = matches!(self.links.get(&leg), Some(ObservedLink::Leg(l)) if l.server_ended_at.or(l.proxy_ended_at).is_some());
-            if gone {
+            let ended = matches!(self.links.get(&leg), Some(ObservedLink::Leg(l)) if l.server_ended_at.or(l.proxy_ended_at).is_some());
+            if ended {
                 self.links.remove(&leg);
             }
         }
@@ -931,18 +935,18 @@
         }
         for list in lists {
             let whole = list["whole"] == Value::Bool(true);
-            let mut named = vec![false; self.node_locations.len()];
+            let mut listed = vec![false; self.node_locations.len()];
             for host in list["hosts"].as_array().into_iter().flatten() {
                 let Some(&node) = host["host"].as_str().and_then(|name| self.node_names.get(name)) else {
                     continue;
                 };
-                named[node] = true;
+                listed[node] = true;
                 let ready = host["health"] == "ready";
-                let born = host["born_ms"].as_f64().filter(|b| *b > 0.0);
+                let started_ms = host["born_ms"].as_f64().filter(|b| *b > 0.0);
                 let notice = &mut self.notices[proxy][node];
                 if ready {
                     (notice.unusable_at, notice.unusable_deadline) = (None, None);
-                    if born.is_some() {
+                    if started_ms.is_some() {
                         let start = notice.start.map_or(f64::NEG_INFINITY, |s| s.0);
                         notice.start = Some((start, now));
                     }
@@ -950,14 +954,14 @@
                     notice.unusable_at = notice.unusable_at.or(Some(now));
                 }
             }
-            for (node, _) in named.iter().enumerate().filter(|(_, n)| whole && !**n) {
+            for (node, _) in listed.iter().enumerate().filter(|(_, n)| whole && !**n) {
                 let notice = &mut self.notices[proxy][node];
                 notice.unusable_at = notice.unusable_at.or(Some(now));
             }
         }
     }
 
-    /// The discovery agent of a proxy has learned of a node's state: the proxy counts as told a fixed time
+    /// The discovery agent of a proxy has learned of a node's state: the proxy counts as informed a fixed time
     /// later, whether the agent writes the update or not.
     pub(crate) fn on_agent_update(&mut self, now: f64, proxy: usize, node: usize, ready: bool, started: f64) {
         let notice = &mut self.notices[proxy][node];
@@ -973,7 +977,7 @@
     pub(crate) fn on_proxy_start(&mut self, now: f64, proxy: usize) {
         self.kill_states[proxy] = KillState::NotKilled;
         for notice in &mut self.notices[proxy] {
-            // A new process receives the list again; it counts as told of what its agent holds a fixed time
+            // A new process receives the list again; it counts as informed of what its agent holds a fixed time
             // later.
             if notice.unusable_at.take().is_some() || notice.unusable_deadline.is_some() {
                 notice.unusable_deadline = Some(now + NOTICE_DEADLINE);
@@ -986,8 +990,8 @@
         self.kill_states[proxy] = if after_stop { KillState::AfterStop } else { KillState::Immediate };
     }
 
-    /// All of a proxy's processes have ended. Killed without a preceding stop, they owe nothing. If they
-    /// exited by themselves, or were killed after the time allowed for a stop, all calls must have been
+    /// All of a proxy's processes have ended. If they were killed without a preceding stop, their calls are
+    /// dropped without a check. If they exited by themselves, or were killed after the time allowed for a stop, all calls must have been
     /// answered and all clients sent away.
     pub(crate) fn on_proxy_exit(&mut self, now: f64, proxy: usize) {
         let kill_state = self.kill_states[proxy];
@@ -1036,13 +1040,13 @@
             }
         }
         if total_load > 0.0 && informed_load >= total_load * 2.0 / 3.0 {
-            let what = format!(
+            let description = format!(
                 "cold node {node} was overloaded: {} connections within the rule's window, {:.0} % of their load from \
                  proxies that knew of its start",
                 arrivals.len(),
                 informed_load / total_load * 100.0
             );
-            self.report_violation(now, Rule::ColdNodes, largest.1, None, what);
+            self.report_violation(now, Rule::ColdNodes, largest.1, None, description);
         }
     }
 
@@ -1103,9 +1107,9 @@
                 }
             }
         }
-        for (id, rule, what) in violations_found {
+        for (id, rule, description) in violations_found {
             let proxy = self.calls.get(&id).map_or(0, |c| c.proxy);
-            self.report_violation(now, rule, proxy, Some(id), what.into());
+            self.report_violation(now, rule, proxy, Some(id), description.into());
         }
     }
 
--- a/crates/dewhead-world/src/audit/cold_start.rs
+++ b/crates/dewhead-world/src/audit/cold_start.rs
@@ -23,7 +23,7 @@
     mean_load: f64,
 }
 
-/// The calls sent to one node since its last start, by proxies that had been told of the start.
+/// The calls sent to one node since its last start, by proxies that had been informed of the start.
 #[derive(Default)]
 pub(super) struct ColdNode {
     started: f64,
--- a/crates/dewhead-world/src/clients.rs
+++ b/crates/dewhead-world/src/clients.rs
@@ -277,8 +277,8 @@
         if now >= client.leaves_at {
             return self.forget_client(key);
         }
-        let (zone, traffic_type, old) = (client.zone, client.traffic_type, client.call_id);
-        self.calls.remove(&old);
+        let (zone, traffic_type, old_call) = (client.zone, client.traffic_type, client.call_id);
+        self.calls.remove(&old_call);
         let Some(proxy) = self.front.proxy_for(zone) else {
             self.service.counts.unreachable += 1;
             return self.schedule_retry(now, key, None);
@@ -350,11 +350,11 @@
         link
     }
 
-    /// Leaves the link after a `MOVE` but goes on writing on it, until the proxy's side is closed.
+    /// Leaves the link after a `MOVE` but keeps writing on it until the proxy's side is closed.
     fn keep_writing(&mut self, now: f64, key: ClientKey) {
         if let Some(link) = self.detach_link(key) {
-            if let Some(one) = self.links.get_mut(link) {
-                one.peer = Peer::IgnoringMove;
+            if let Some(link_state) = self.links.get_mut(link) {
+                link_state.peer = Peer::IgnoringMove;
                 self.queue.push(now + self.experiment.clients.line_interval, Event::WriteAfterMove(link));
             }
         }
--- a/crates/dewhead-world/src/experiment.rs
+++ b/crates/dewhead-world/src/experiment.rs
@@ -232,7 +232,7 @@
     /// Time between a client's lines, in seconds.
     #[serde(rename = "line_every")]
     pub line_interval: f64,
-    /// Fraction of the clients that go on writing on a connection after `MOVE`, until it is closed.
+    /// Fraction of the clients that keep writing on a connection after `MOVE` until it is closed.
     #[serde(rename = "lingering")]
     pub ignore_move_share: f64,
     /// Whether clients send an estimate of their load.
@@ -267,7 +267,7 @@
     /// Time for which it still sends clients to a proxy that has failed, in seconds.
     #[serde(rename = "notice")]
     pub failure_notice: Range,
-    /// Time for which it still sends clients to a proxy that has been told to stop, in seconds.
+    /// Time for which it still sends clients to a proxy that is stopping, in seconds.
     pub stop_notice: Range,
 }
 
@@ -647,39 +647,39 @@
             "must be from 0 to 1",
         )?;
         require(self.rules.max_legs >= 1, "rules.most_legs", "must be at least 1")?;
-        for (n, one) in self.traffic.iter().enumerate() {
+        for (n, traffic) in self.traffic.iter().enumerate() {
             let key = |name: &str| format!("traffic[{n}].{name}");
-            require(one.guard_time > 0.0, &key("guard_time"), "must be greater than 0")?;
-            require(one.lifetime > 0.0, &key("life"), "must be greater than 0")?;
-            require(one.lifetime_shape > 1.0, &key("life_shape"), "must be greater than 1")?;
-            require(one.load > 0.0, &key("load"), "must be greater than 0")?;
-            require(one.change_interval > 0.0, &key("change"), "must be greater than 0")?;
-            require((0.0..1.0).contains(&one.idle), &key("idle"), "must be at least 0 and less than 1")?;
-            let valid_name =
-                !one.name.is_empty() && one.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
+            require(traffic.guard_time > 0.0, &key("guard_time"), "must be greater than 0")?;
+            require(traffic.lifetime > 0.0, &key("life"), "must be greater than 0")?;
+            require(traffic.lifetime_shape > 1.0, &key("life_shape"), "must be greater than 1")?;
+            require(traffic.load > 0.0, &key("load"), "must be greater than 0")?;
+            require(traffic.change_interval > 0.0, &key("change"), "must be greater than 0")?;
+            require((0.0..1.0).contains(&traffic.idle), &key("idle"), "must be at least 0 and less than 1")?;
+            let valid_name = !traffic.name.is_empty()
+                && traffic.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
             require(valid_name, &key("name"), "must be letters, digits and hyphens")?;
         }
-        for (n, one) in self.machines.iter().enumerate() {
+        for (n, machine) in self.machines.iter().enumerate() {
             let key = |name: &str| format!("machine[{n}].{name}");
-            require(one.cores > 0.0, &key("cores"), "must be greater than 0")?;
+            require(machine.cores > 0.0, &key("cores"), "must be greater than 0")?;
             require(
-                one.speed[0] > 0.0 && one.speed[1] >= one.speed[0],
+                machine.speed[0] > 0.0 && machine.speed[1] >= machine.speed[0],
                 &key("speed"),
                 "must be two increasing numbers greater than 0",
             )?;
-            require(one.cold_share[0] > 0.0, &key("cold_share"), "must be greater than 0")?;
+            require(machine.cold_share[0] > 0.0, &key("cold_share"), "must be greater than 0")?;
         }
-        for (n, one) in self.troubles.iter().enumerate() {
+        for (n, trouble) in self.troubles.iter().enumerate() {
             let key = |name: &str| format!("trouble[{n}].{name}");
-            crate::troubles::find_kind(&one.kind).map_err(|e| format!("key '{}': {e}", key("kind")))?;
+            crate::troubles::find_kind(&trouble.kind).map_err(|e| format!("key '{}': {e}", key("kind")))?;
             require(
-                one.at >= 0.0 && one.duration > 0.0,
+                trouble.at >= 0.0 && trouble.duration > 0.0,
                 &key("at"),
                 "must be at least 0, and 'lasts' greater than 0",
             )?;
-            require((0.0..=1.0).contains(&one.fraction), &key("part"), "must be from 0 to 1")?;
-            require(one.at_a_time > 0, &key("at_a_time"), "must be greater than 0")?;
-            if let Some(zone) = &one.zone {
+            require((0.0..=1.0).contains(&trouble.fraction), &key("part"), "must be from 0 to 1")?;
+            require(trouble.at_a_time > 0, &key("at_a_time"), "must be greater than 0")?;
+            if let Some(zone) = &trouble.zone {
                 require(self.fleet.zones.contains(zone), &key("zone"), "is not a zone of the fleet")?;
             }
         }
--- a/crates/dewhead-world/src/front.rs
+++ b/crates/dewhead-world/src/front.rs
@@ -11,7 +11,7 @@
     random: RandomStream,
 }
 
-/// Delay until a proxy that has not answered is asked again, in seconds.
+/// Delay until a proxy that has not answered gets another `PING`, in seconds.
 const PING_RETRY_DELAY: f64 = 0.1;
 
 impl Front {
@@ -46,7 +46,7 @@
 }
 
 impl World {
-    /// Asks a proxy that has started whether it serves.
+    /// Sends `PING` to a proxy that has started.
     pub(crate) fn front_pings(&mut self, now: f64, proxy: usize) {
         if !self.proxies[proxy].listening || self.proxies[proxy].is_stopping() {
             return;
@@ -86,7 +86,7 @@
         self.queue.push(now + notice_delay, Event::FrontRemoves(proxy, self.proxies[proxy].start_count));
     }
 
-    /// A proxy has been told to stop: the front layer sends it clients until it notices.
+    /// A proxy is stopping: the front layer sends it clients until it notices.
     pub(crate) fn front_notices_stop(&mut self, now: f64, proxy: usize) {
         let notice_delay = self.front.random.uniform_in(self.experiment.front.stop_notice);
         self.queue.push(now + notice_delay, Event::FrontRemoves(proxy, self.proxies[proxy].start_count));
--- a/crates/dewhead-world/src/settings.rs
+++ b/crates/dewhead-world/src/settings.rs
@@ -64,11 +64,11 @@
     listen: &str,
     discovery: &str,
     seed: u64,
-    known: Value,
+    node_list: Value,
 ) -> Value {
     json!({
         "name": format!("proxy-{position}"), "listen": listen, "discovery": discovery, "seed": format!("{seed:016x}"),
         "limits": {"cores": 1.0, "memory_mb": experiment.proxy.memory_mb, "sockets": experiment.proxy.sockets},
-        "known": known, "settings": proxy_settings(experiment, position)
+        "known": node_list, "settings": proxy_settings(experiment, position)
     })
 }
--- a/crates/dewhead-world/src/troubles/handover_stop.rs
+++ b/crates/dewhead-world/src/troubles/handover_stop.rs
@@ -1,4 +1,4 @@
-//! Proxies are handed over and told to stop shortly after, while the old process still sends its clients
+//! Proxies are handed over and stopped shortly after, while the old process still sends its clients
 //! away. The supervisor signals the successor alone and the whole group alternately.
 
 use super::{choose_proxies, current_batch, kill_delay, next_batch_time, TroubleKind};
@@ -8,7 +8,7 @@
 /// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "handover-stop",
-    description: "'part' of the proxies are handed over within 'lasts' seconds, 'at_a_time' at a time, and each told to stop within 'size' \
+    description: "'part' of the proxies are handed over within 'lasts' seconds, 'at_a_time' at a time, and each gets SIGTERM within 'size' \
             seconds of that",
     on_stage,
 };
--- a/crates/dewhead-world/src/troubles/restart_kill.rs
+++ b/crates/dewhead-world/src/troubles/restart_kill.rs
@@ -1,4 +1,4 @@
-//! Proxies are killed in turn without being told to stop, and start again with only the node list that they
+//! Proxies are killed in turn without a preceding SIGTERM, and start again with only the node list that they
 //! last had.
 
 use super::{choose_proxies, current_batch, next_batch_time, TroubleKind};
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -126,7 +126,7 @@
     /// Whether the proxy, or the remote side, has closed the link.
     proxy_closed: bool,
     peer_closed: bool,
-    /// Whether the proxy's host has been told of the link.
+    /// Whether the link has been announced to the proxy's host.
     known_to_host: bool,
 }
 
@@ -145,14 +145,14 @@
     pub listening: bool,
     /// The number of processes started so far.
     pub start_count: u64,
-    /// When the proxy was told to stop, until it starts again.
+    /// Time of the stop request, until the proxy starts again.
     pub stop_requested_at: Option<f64>,
     /// The number of client connections.
     pub connections: u32,
 }
 
 impl Proxy {
-    /// Whether the proxy has been told to stop and has not started again.
+    /// Whether the proxy has been requested to stop and has not started again.
     pub fn is_stopping(&self) -> bool {
         self.stop_requested_at.is_some()
     }
@@ -523,13 +523,13 @@
                 self.audit.on_connected(now, key, proxy, peer);
                 self.effects.push(Effect::Connect(key, proxy));
             }
-            Message::ConnectResult(up) => {
-                self.update_digest(now, 2, proxy, &[up as u8]);
-                if !up {
+            Message::ConnectResult(accepted) => {
+                self.update_digest(now, 2, proxy, &[accepted as u8]);
+                if !accepted {
                     self.links.remove(key);
                     self.audit.on_refused(now, key);
                 }
-                self.effects.push(if up { Effect::Established(key) } else { Effect::Refused(key) });
+                self.effects.push(if accepted { Effect::Established(key) } else { Effect::Refused(key) });
             }
             Message::Bytes(bytes) => {
                 if !link.known_to_host {
@@ -640,7 +640,7 @@
         self.update_digest(now, 9, proxy, &[]);
         let was_listening = std::mem::replace(&mut self.proxies[proxy].listening, false);
         self.audit.on_proxy_exit(now, proxy);
-        self.service.annotate(now, format!("proxy {proxy} is gone"));
+        self.service.annotate(now, format!("proxy {proxy} has exited"));
         let open_links: Vec<LinkKey> = self
             .links
             .iter()
@@ -679,8 +679,8 @@
     }
 
     fn emit_start(&mut self, _now: f64, proxy: usize) {
-        let known = self.discovery.last_list(proxy);
-        self.effects.push(Effect::Start(proxy, known));
+        let node_list = self.discovery.last_list(proxy);
+        self.effects.push(Effect::Start(proxy, node_list));
     }
 
     /// The seed for the current process of a proxy.
