--- a/crates/dewhead-world/src/audit.rs
+++ b/crates/dewhead-world/src/audit.rs
@@ -100,6 +100,7 @@
 struct Leg {
     proxy: usize,
     node: usize,
+    /// The id of the call, once the first line has been written.
     call: Option<u64>,
     /// The first line until it is complete, and the times when its first and its last byte were written.
     open_line: Bytes,
@@ -109,12 +110,16 @@
     answer_line: Bytes,
     receipt: Option<Bytes>,
     outcome: LegOutcome,
+    /// Bytes from the server to the client, and from the client to the server.
     to_client: Flow,
     to_server: Flow,
+    /// When the server last wrote something.
     last_received: f64,
     /// Whether the server's last complete line announced the end of the connection.
     announced_end: bool,
+    /// The server's current line until it is complete.
     partial_line: Bytes,
+    /// When the server, and the proxy, ended the connection.
     server_ended_at: Option<f64>,
     proxy_ended_at: Option<f64>,
 }
@@ -152,19 +157,23 @@
     link: LinkKey,
     traffic_type: usize,
     deadline: f64,
+    /// Whether the call restores a connection that existed before the start.
     restored: bool,
     legs: Vec<LinkKey>,
     /// The first leg that may have run: the time it was sent, and its node.
     first_run: Option<(f64, usize)>,
     legs_sent: u32,
     answered: bool,
+    /// The leg to which the client's connection is bound after `UP`.
     bound_leg: Option<LinkKey>,
     /// The bytes that the proxy itself, rather than the server, has written to a client with an established
     /// connection.
     proxy_line: Bytes,
+    /// The answer line until it is complete.
     answer_line: Bytes,
     /// Since when a line of the client has had no response from the server.
     unanswered_since: Option<f64>,
+    /// When the server ended the bound leg.
     server_ended_at: Option<f64>,
     trace: Vec<(f64, String)>,
 }
@@ -181,6 +190,7 @@
 
 /// Observes all links of the proxies and collects the violations of the rules.
 pub struct Auditor {
+    /// By traffic type: name, repeatability, scope and window of its references.
     traffic_types: Vec<(String, Repeatability, Scope, f64)>,
     max_legs: u32,
     second_copies: bool,
@@ -189,7 +199,9 @@
     /// By node: the capacity in standard cores, and the calls sent to it while it was cold.
     cores: Vec<f64>,
     cold_nodes: Vec<ColdNode>,
+    /// By node: its zone and cell.
     node_locations: Vec<(usize, u64)>,
+    /// Indices of the nodes by their names in discovery.
     node_names: BTreeMap<String, usize>,
     /// The observed links. They are stored by key, not by slot: a leg can outlive its link, because lines of
     /// it are still on their way through the proxy, and the slot may have been given to another link by then.
@@ -197,6 +209,7 @@
     calls: BTreeMap<u64, Call>,
     /// Calls that ended a moment ago, with the time. A proxy on sockets learns of an end slightly later.
     recent_calls: VecDeque<(f64, u64)>,
+    /// By proxy and node.
     notices: Vec<Vec<NodeNotice>>,
     /// Legs that appear to overlap: the earlier leg, the call, and since when.
     overlaps: Vec<(LinkKey, u64, f64)>,
@@ -208,9 +221,10 @@
     pub seed: u64,
     /// The violations found, in order; at most `MAX_VIOLATIONS` are kept.
     pub violations: Vec<Violation>,
-    /// The number of calls accepted, and of answers by kind (`UP`, `BUSY`, other), to check that none is
-    /// missing.
+    /// The number of calls accepted.
     pub calls_accepted: u64,
+    /// The number of answers by kind (`UP`, `BUSY`, other), to check against `calls_accepted` that none is
+    /// missing.
     pub answer_counts: [u64; 3],
     next_check: f64,
 }
--- a/crates/dewhead-world/src/nodes.rs
+++ b/crates/dewhead-world/src/nodes.rs
@@ -41,8 +41,9 @@
     pub neighbour_share: f64,
     /// Fraction of new connections that are answered with an error immediately.
     pub error_share: f64,
-    /// Capacity of all cores when warm, and of one core, in standard cores.
+    /// Capacity of all cores when warm, in standard cores.
     pub warm_capacity: f64,
+    /// Capacity of one core when warm, in standard cores.
     pub core_speed: f64,
     /// Limit of the number of connections.
     pub max_connections: usize,
--- a/crates/dewhead-world/src/random.rs
+++ b/crates/dewhead-world/src/random.rs
@@ -8,15 +8,25 @@
 /// The subject of a stream.
 #[derive(Clone, Copy, Debug)]
 pub enum StreamPurpose {
+    /// Arrivals of clients.
     Arrivals = 1,
+    /// The properties and decisions of one client.
     Client,
+    /// The machines of the fleet.
     Fleet,
+    /// Loads, setup work and errors of the nodes.
     Node,
+    /// Latency and message splitting.
     Network,
+    /// The front layer.
     Front,
+    /// Discovery.
     Discovery,
+    /// One trouble.
     Trouble,
+    /// The start and the seed of one process of a proxy.
     Proxy,
+    /// Drawn experiments.
     Search,
 }
 
--- a/crates/dewhead-world/src/service.rs
+++ b/crates/dewhead-world/src/service.rs
@@ -35,24 +35,31 @@
 /// The number of calls by outcome, and other counts.
 #[derive(Clone, Default, Debug, Serialize)]
 pub struct Counts {
-    /// Clients that arrived, and calls that they made.
+    /// Clients that arrived.
     pub clients: u64,
+    /// Calls that they made.
     pub calls: u64,
-    /// Calls answered with `UP`, with `BUSY`, and with an error or the end of the connection.
+    /// Calls answered with `UP`.
     pub completed: u64,
+    /// Calls answered with `BUSY`.
     pub rejected: u64,
+    /// Calls answered with an error or the end of the connection.
     pub failed: u64,
-    /// Calls without an answer by the client's deadline, and calls that reached no proxy.
+    /// Calls without an answer by the client's deadline.
     pub unanswered: u64,
+    /// Calls that reached no proxy.
     pub unreachable: u64,
     /// Clients that gave up.
     pub lost_clients: u64,
-    /// Established connections that ended with `MOVE`, by a failure, and by their client.
+    /// Established connections that ended with `MOVE`.
     pub moved: u64,
+    /// Established connections that were lost.
     pub broken: u64,
+    /// Established connections that their client ended.
     pub ended: u64,
-    /// Legs that reached a node, and those of them that crossed zones.
+    /// Legs whose first line reached a node.
     pub legs: u64,
+    /// Those of them that crossed zones.
     #[serde(rename = "crossing_legs")]
     pub cross_zone_legs: u64,
     /// Setups that took longer than the target.
@@ -61,9 +68,10 @@
     /// Cold nodes that crashed from overload.
     #[serde(rename = "nodes_fallen")]
     pub nodes_crashed: u64,
-    /// Clients that sent no valid request, and those of them that got no answer and no end in time.
+    /// Clients that sent no valid request.
     #[serde(rename = "bad_clients")]
     pub misbehaving_clients: u64,
+    /// Those of them that were neither answered nor disconnected in time.
     #[serde(rename = "bad_left")]
     pub misbehaving_clients_unanswered: u64,
 }
@@ -77,8 +85,9 @@
     pub setup_times: Vec<Histogram<u64>>,
     /// The counts so far.
     pub counts: Counts,
-    /// Samples for each second: load, capacity and connections of each node, then connections of each proxy.
+    /// By node: load, capacity and connections in each second.
     pub nodes: Vec<Vec<(f32, f32, u32)>>,
+    /// By proxy: connections in each second.
     pub proxies: Vec<Vec<u32>>,
     /// Events of the run, such as restarts, with their times.
     pub annotations: Vec<(f64, String)>,
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -69,8 +69,9 @@
 pub enum Effect {
     /// Someone connects to the proxy of this index.
     Connect(LinkKey, usize),
-    /// A connection opened by the proxy is established, or refused.
+    /// A connection opened by the proxy is established.
     Established(LinkKey),
+    /// A connection opened by the proxy is refused.
     Refused(LinkKey),
     /// Bytes arrive at the proxy.
     Bytes(LinkKey, Bytes),
@@ -160,26 +161,42 @@
 
 /// A scheduled event.
 pub(crate) enum Event {
+    /// A client may arrive.
     Arrival,
+    /// The timer of this number of a client expires.
     Client(ClientKey, u32),
+    /// A client that has received `MOVE` writes a line.
     WriteAfterMove(LinkKey),
+    /// A message arrives at the proxy.
     ToProxy(LinkKey, Message),
+    /// A message arrives at the remote side.
     FromProxy(LinkKey, Message),
     /// A connection setup at this node may be finished. The number identifies the estimate, so that outdated
     /// ones are ignored.
     SetupDone(usize, u32),
+    /// The load of a connection changes.
     LoadChange(ConnectionKey),
+    /// A draining node sends `MOVE` on a connection.
     MoveClient(ConnectionKey),
     /// The demand of this traffic type falls by this revenue rate.
     DemandEnds(usize, f64),
+    /// Discovery learns of the change of this number.
     DiscoveryUpdate(u64),
+    /// An agent learns of this version.
     AgentUpdate(usize, u64),
+    /// An agent writes an empty line to a watch.
     Heartbeat(usize, LinkKey),
+    /// An agent closes a watch.
     CloseWatch(usize, LinkKey),
+    /// The process of a proxy starts.
     StartProxy(usize),
+    /// The front layer sends `PING` to a proxy.
     FrontPing(usize),
+    /// The front layer notices the end of a proxy's process of this start count.
     FrontRemoves(usize, u64),
+    /// A trouble reaches this stage.
     Trouble(usize, u32),
+    /// All nodes are advanced and sampled.
     Sample,
 }
 
@@ -330,10 +347,12 @@
         std::mem::swap(into, &mut self.effects);
     }
 
+    /// Adds an effect for the host.
     pub(crate) fn emit(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
+    /// Handles a scheduled event.
     fn handle_event(&mut self, now: f64, event: Event) {
         match event {
             Event::Arrival => self.add_arrival(now),
@@ -457,6 +476,7 @@
         self.schedule_message(now, key, to_proxy, delay, message);
     }
 
+    /// Schedules the arrival of a message, no earlier than that of the previous one.
     fn schedule_message(&mut self, now: f64, key: LinkKey, to_proxy: bool, delay: f64, message: Message) {
         let Some(link) = self.links.get_mut(key) else { return };
         let last = if to_proxy { &mut link.to_proxy_at } else { &mut link.from_proxy_at };
@@ -488,12 +508,14 @@
         }
     }
 
+    /// Removes a link that both sides have closed.
     fn remove_closed_link(&mut self, key: LinkKey) {
         if self.links.get(key).is_some_and(|l| l.proxy_closed && l.peer_closed) {
             self.links.remove(key);
         }
     }
 
+    /// Adds an exchange with a proxy to the digest.
     fn update_digest(&mut self, now: f64, event_code: u8, proxy: usize, bytes: &[u8]) {
         self.digest.update(&now.to_bits().to_le_bytes());
         self.digest.update(&[event_code, proxy as u8, (proxy >> 8) as u8]);
@@ -505,6 +527,7 @@
         self.digest.clone().finalize()
     }
 
+    /// A message has arrived at the proxy's side of a link.
     fn deliver_to_proxy(&mut self, now: f64, key: LinkKey, message: Message) {
         let Some(link) = self.links.get_mut(key) else { return };
         let (proxy, peer) = (link.proxy, link.peer);
@@ -550,6 +573,7 @@
         }
     }
 
+    /// A message has arrived at the remote side of a link.
     fn deliver_from_proxy(&mut self, now: f64, key: LinkKey, message: Message) {
         let Some(link) = self.links.get(key) else { return };
         if link.peer_closed {
@@ -678,6 +702,7 @@
         }
     }
 
+    /// Requests the start of a proxy's process from the host.
     fn emit_start(&mut self, _now: f64, proxy: usize) {
         let node_list = self.discovery.last_list(proxy);
         self.effects.push(Effect::Start(proxy, node_list));
