--- a/crates/dewhead-world/src/troubles/handover_stop.rs
+++ b/crates/dewhead-world/src/troubles/handover_stop.rs
@@ -9,7 +9,7 @@
 pub const KIND: TroubleKind = TroubleKind {
     name: "handover-stop",
     description: "'part' of the proxies are handed over within 'lasts' seconds, 'at_a_time' at a time, and each gets SIGTERM within 'size' \
-            seconds of that",
+            seconds of the handover",
     on_stage,
 };
 
