--- a/crates/dewhead/src/host_interface.rs
+++ b/crates/dewhead/src/host_interface.rs
@@ -4,15 +4,16 @@
 
 use crate::refusal::Refusal;
 
-/// What a balancer asks of the program that embeds it. All times are seconds.
+/// The operations that a balancer requests from the program that embeds it. All times are in seconds.
 pub trait BalancerHost {
-    /// Starts a leg of a call at a server; `limit` is the leg's time-out.
+    /// Starts a leg of a call at a server; `limit` is the leg's time-out from now on.
     fn send_leg(&self, call: u64, server: u64, limit: f64);
-    /// Gives the final answer "rejected". `retry_after` is how long the client is asked to wait before it tries again.
+    /// Gives the final answer "rejected". `retry_after` is how long the client should wait before it tries again;
+    /// `None` sets no wait.
     fn reject(&self, call: u64, retry_after: Option<f64>);
-    /// Gives the final answer "released", which promises nothing about the call's effect.
+    /// Gives the final answer "released", which leaves open whether the call has run.
     fn release(&self, call: u64);
-    /// Reports why the call is rejected or released next. Hosts without refusal counters ignore it.
+    /// Reports, just before `reject` or `release`, the reason for it. Hosts without refusal counters ignore it.
     fn note_refusal(&self, _call: u64, _reason: Refusal) {}
     /// Cancels one leg of a call.
     fn cancel_leg(&self, call: u64, leg: u32);
--- a/crates/dewhead/src/lib.rs
+++ b/crates/dewhead/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! [`rules`] makes the decisions over the data in [`state`], [`slow_start`] limits what is sent to servers that have
 //! just started, and [`refusal`] names the reasons for which a call is not sent on. [`host_interface`] is what the
-//! library needs from the program around it, [`types`] holds the data types that both share, and [`snapshot`] hands
-//! what a balancer knows of its servers to a successor.
+//! library needs from the program that embeds it, [`types`] holds the data types that both share, and [`snapshot`]
+//! exports what a balancer has learned of its servers, for a successor.
 
 pub mod host_interface;
 pub mod refusal;
--- a/crates/dewhead/src/rules.rs
+++ b/crates/dewhead/src/rules.rs
@@ -23,7 +23,7 @@
 const SMOOTHING_TIME: f64 = 0.2;
 /// The number of latest outcomes by which health is judged.
 const HEALTH_OUTCOMES: u32 = 8;
-/// The message delay from which a server counts as overloaded, in multiples of the shortest message target.
+/// The message delay from which a server is treated as overloaded, in multiples of the shortest message target.
 const OVERLOAD_DELAY: f64 = 1.0 / 3.0;
 /// The time in which a server should work off its backlog, in multiples of the longest guard time.
 const BACKLOG_DRAIN_TIME: f64 = 1.0;
@@ -142,7 +142,7 @@
     }
 
     /// Whether fewer than half of the latest outcomes, of which there must be `min_outcomes`, were successes. After
-    /// `memory` seconds without an outcome all are forgotten.
+    /// `memory` seconds without an outcome all are discarded.
     fn is_unhealthy(&self, now: f64, memory: f64, min_outcomes: u32) -> bool {
         if now - self.last_outcome_at.get() > memory {
             self.outcome_count.set(0);
@@ -228,7 +228,7 @@
     }
 
     /// Relocates connections from other zones, where they were placed when home was full or before this balancer started,
-    /// to the home zone while that has room: the lightest first, a hundredth of this balancer's connections at a time.
+    /// to the home zone while it has room: the lightest first, a hundredth of this balancer's connections at a time.
     fn relocate_home(&self, now: f64) {
         let at = now + 0.05 * self.longest_guard;
         self.relocate_home_at.set(at);
@@ -243,8 +243,8 @@
                 && reported_load < 0.7
                 && !s.health.is_unhealthy(now, memory, 2)
         };
-        // With fewer connections than servers, a balancer can't tell whether there is room: 300 balancers took the home
-        // zone for empty and overfilled it.
+        // With fewer connections than servers, a balancer can't tell whether there is room: 300 balancers judged the home
+        // zone empty and overfilled it.
         let ready_count = servers.iter().filter(|s| s.state.get() == ServerState::Ready).count();
         let too_few_to_tell = (self.connections.get() as usize) < ready_count;
         // While calls are being refused, relocated connections would only be refused as well.
@@ -440,7 +440,7 @@
         let (legs, group_share) = (call.legs.borrow(), self.group_share(call));
         let (mut best, mut ties): (Option<(f64, &Rc<Server>)>, f64) = (None, 0.0);
         let (mut fallback, mut unhealthy_weight, mut reports) = (None::<(f64, &Rc<Server>)>, 0.0, (0.0, 0.0));
-        // If most servers appear unhealthy, the fault may be on this side, and they are as good as any.
+        // If most servers appear unhealthy, the fault may be on this side, and one of them is used if there is no other.
         let suspect_own_side = self.unhealthy_share.get() > 0.5;
         for server in servers.iter() {
             if server.state.get() != ServerState::Ready {
@@ -458,8 +458,8 @@
             let filling = age < 3.0 * self.slow_start.warm_after && load < 0.5 * share;
             let limit = server.limit(now, growth_time);
             // A server at its limit is sent nothing: an overloaded server drops connections, and the clients that come
-            // back keep it overloaded. A server with unknown load is as likely to be overloaded as the known ones of its
-            // zone; if it always counted in full, each balancer would fill servers that the others have closed. A server
+            // back keep it overloaded. A server with unknown load is as likely to be overloaded as those with known
+            // load in its zone; if it were always used, each balancer would fill servers that the others have closed. One
             // that has just started is not affected, as no balancer has filled it (ic788f7).
             let zone = &self.zones[(server.zone as usize).min(self.zones.len() - 1)];
             let queue_full = now < server.full_until.get();
@@ -487,7 +487,7 @@
             if self.weights_follow_load || self.has_probes {
                 let relative_occupancy =
                     if self.weights_follow_load { occupancy(server) / mean_occupancy } else { 1.0 };
-                // A load report says more than a weight, and counts less as it ages.
+                // A load report is more accurate than a weight, and is weighted less as it ages.
                 let (relative_load, freshness) =
                     server.load_report.get().map_or((0.0, 0.0), |(reported_load, at)| {
                         reports = (reports.0 + size * reported_load, reports.1 + size);
@@ -565,7 +565,7 @@
     }
 
     /// The cost of serving the call's group at a server where this balancer has none of it. All balancers rank the
-    /// servers alike for a group, so that its calls meet on the same few, and on large ones more often by their size.
+    /// servers alike for a group, so that its calls go to the same few, and to large ones more often.
     fn server_group_cost(&self, call: &Call, server: &Server, mean_load: f64, group_share: f64) -> f64 {
         match call.request.group {
             Some(group)
@@ -577,7 +577,7 @@
         }
     }
 
-    /// Whether most set-ups fail at whichever server, so that the fault lies in something the servers share.
+    /// Whether most set-ups fail across all servers, so that the fault is in something that the servers share.
     fn shared_fault(&self, now: f64) -> bool {
         self.overall_health.is_unhealthy(now, self.longest_guard, HEALTH_OUTCOMES / 2)
     }
@@ -673,7 +673,7 @@
         })
     }
 
-    /// Rule 2 for answers: whether the call may be rejected, which tells the client that trying again is harmless.
+    /// Rule 2 for answers: whether the call may be rejected, which means that the client can safely try again.
     fn may_reject(&self) -> bool {
         let idempotency = self.balancer.traffic_types[self.request.traffic_type].idempotency;
         let any_active = self.legs.borrow().iter().any(|l| l.active);
@@ -735,16 +735,17 @@
         Ok(())
     }
 
-    /// Requests the server's load, once per call, if it is not known and there is time. Returns whether the call waits.
+    /// Requests the server's load, once per call, if no recent report of it exists and there is time. Returns whether the
+    /// call waits for the answer.
     fn start_probe(self: &Rc<Self>, now: f64, server: &Rc<Server>) -> bool {
         let balancer = &self.balancer;
-        let known = server
+        let report_is_fresh = server
             .load_report
             .get()
             .is_some_and(|(_, at)| now - at < REPORT_FRESH_TIME * balancer.longest_guard);
         let wait = PROBE_WAIT * balancer.traffic_types[self.request.traffic_type].setup_target;
         let has_time = self.deadline.get() - now > 2.0 * wait;
-        if !balancer.has_probes || known || !has_time || self.awaits_probe.get().is_some() {
+        if !balancer.has_probes || report_is_fresh || !has_time || self.awaits_probe.get().is_some() {
             return false;
         }
         // One probe serves all calls that wait for it. Calls whose wait has timed out are removed.
@@ -841,12 +842,12 @@
             self.stage.set(Stage::Established);
             self.established_leg.set(leg);
         }
-        for (index, one) in self.legs.borrow_mut().iter_mut().enumerate() {
+        for (index, sent_leg) in self.legs.borrow_mut().iter_mut().enumerate() {
             if index == leg {
-                one.mark_answered();
-                one.server.health.record(now, true);
+                sent_leg.mark_answered();
+                sent_leg.server.health.record(now, true);
                 self.balancer.overall_health.record(now, true);
-            } else if one.active && self.balancer.leg_policy.may_cancel {
+            } else if sent_leg.active && self.balancer.leg_policy.may_cancel {
                 self.balancer.host.cancel_leg(self.id, index as u32);
             }
         }
@@ -874,8 +875,8 @@
     pub fn on_message_delay(&self, now: f64, leg: usize, delay: f64) {
         let Some(server) = self.legs.borrow().get(leg).map(|l| l.server.clone()) else { return };
         let balancer = &self.balancer;
-        // The delay of messages is a server's backlog, which grows by the load beyond its capacity. Before a first report
-        // the delay was below what is reported, and counts as zero a second earlier.
+        // The delay of messages is a server's backlog, which grows by the load beyond its capacity. Before the first report
+        // the delay was too short to be reported; it is assumed to have been zero one second earlier.
         let (previous, at) = server.message_delay.replace((delay, now));
         let slope = match now - at {
             elapsed if elapsed > 0.0 && elapsed < 2.5 => (delay - previous) / elapsed,
@@ -891,7 +892,7 @@
         }
     }
 
-    /// Handles the end of a leg. `is_last` says that the call has ended with it.
+    /// Handles the end of a leg. `is_last`: the call has ended with it.
     pub fn on_leg_ended(self: &Rc<Self>, now: f64, leg: usize, outcome: LegOutcome, is_last: bool) {
         let Some(server) = self.remove_leg(leg) else { return };
         let balancer = &self.balancer;
@@ -944,7 +945,7 @@
         }
     }
 
-    /// Handles a client that has left before an answer, or that the host has cut off. It is owed no answer.
+    /// Handles a client that has left before an answer, or that the host has cut off. It is sent no answer.
     pub fn on_client_left(&self) {
         self.stage.set(Stage::Finished);
     }
--- a/crates/dewhead/src/slow_start.rs
+++ b/crates/dewhead/src/slow_start.rs
@@ -4,11 +4,13 @@
 use crate::state::{Balancer, Server, SlowStart};
 use oorandom::Rand64;
 
-/// The most that balancers send to a server in a window, in multiples of what the settings allow, however few calls that
-/// is. A connection adds load over its whole life, and is counted here as if all of that fell into the warm-up.
+/// The cap on what all balancers together send to a server in a window, in multiples of the number of calls that the
+/// settings allow. The budget counts a connection's whole load as if it arrived within the warm-up, although the
+/// connection adds it over its whole life, so the budget overstates what reaches the server. That is why up to twice the
+/// allowed number is sent where that number is small.
 const MAX_BUDGET_MULTIPLE: f64 = 2.0;
 /// The excess over the allowed number of calls in a window that rule 4 attributes to chance, in square roots of that
-/// number. The two further calls that the rule tolerates are sent by turns.
+/// number. The rule tolerates two calls more, which the balancers send by turns.
 const CHANCE_ALLOWANCE_ROOTS: f64 = 2.0;
 /// The golden ratio's fractional part. The fractional parts of its multiples are spread evenly from 0 to 1, however many
 /// there are.
@@ -25,10 +27,11 @@
 impl Balancer {
     /// Rule 4: whether this balancer may send a call to a cold server now.
     ///
-    /// This balancer's part of a server is its connections per weight, in which other zones count as in R_i, or its part
-    /// of the tenants' quotas where that is more: a balancer that was killed, or whose servers were lost, has no
-    /// connections. A server is filled with that part over its warm-up. The budget grows at this rate times the present
-    /// capacity share, the overload multiple and what the rule attributes to chance. Beyond the budget there are turns.
+    /// This balancer's part of a server is the server's size times this balancer's connections per weight, in which other
+    /// zones count as in R_i, or times its part of the tenants' quotas per weight if that is more: a balancer that was
+    /// killed, or whose servers were lost, has no connections. The server is filled with that part over its warm-up. The
+    /// budget grows at this rate, multiplied by the present capacity share, the overload multiple and the allowance for
+    /// chance. Beyond the budget, the balancers take turns.
     pub(crate) fn within_slow_start_budget(&self, now: f64, server: &Server, age: f64) -> bool {
         let allowed = self.allowed_per_window(server, age);
         let rate = self.budget_per_window(allowed) / self.slow_start.window;
@@ -60,9 +63,9 @@
         self.slow_start.overload_multiple * self.slow_start.window / self.slow_start.warm_after
     }
 
-    /// What this balancer may send in a window: its part of what all balancers may send, which is the number that the
-    /// settings allow and the square roots of it that the rule attributes to chance. A constant multiple exceeded the
-    /// limit where dozens of calls are allowed, as the roots are a small part of such numbers.
+    /// The number of calls that this balancer may send in a window: its part of the number for all balancers, which is
+    /// what the settings allow plus `CHANCE_ALLOWANCE_ROOTS` square roots of that. A constant multiple exceeded the limit
+    /// where dozens of calls are allowed, as the square root is a small part of such a number.
     fn budget_per_window(&self, allowed: f64) -> f64 {
         let allowed_for_all = (self.balancer_count * allowed).max(f64::MIN_POSITIVE);
         let multiple = (1.0 + CHANCE_ALLOWANCE_ROOTS / allowed_for_all.sqrt()).min(MAX_BUDGET_MULTIPLE);
--- a/crates/dewhead/src/snapshot.rs
+++ b/crates/dewhead/src/snapshot.rs
@@ -1,15 +1,16 @@
-//! What a balancer knows of its servers, in a form that can be handed to a successor. Every item carries its age, and
+//! What a balancer has learned of its servers, in a form that can be handed to a successor. Every item carries its age and
 //! expires at the successor by the same rules as here; what is too old to be used is left out.
 
 use crate::state::{Balancer, Server};
 use std::rc::Rc;
 
-/// What is known of one server. Ages are seconds before the snapshot was taken.
+/// What was learned of one server. Ages are in seconds before the snapshot was taken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerSnapshot {
     /// The server's id.
     pub server: u64,
-    /// The start of the process that this is known of; a process with another start time is unknown.
+    /// When the server's process started, `None` if long ago. The snapshot does not apply to a process with another start
+    /// time.
     pub started: Option<f64>,
     /// The limit as it was cut, in standard cores, and its age.
     pub limit: Option<(f64, f64)>,
@@ -32,7 +33,7 @@
 }
 
 impl Balancer {
-    /// Everything of use to a successor, by server.
+    /// What a successor can use, by server.
     pub fn snapshot(&self, now: f64) -> Vec<ServerSnapshot> {
         let snapshot_of = |server: &Rc<Server>| {
             let limit_age = now - server.limit_cut_at.get();
--- a/crates/dewhead/src/state.rs
+++ b/crates/dewhead/src/state.rs
@@ -12,7 +12,7 @@
 pub struct ListSubscription {
     /// Whether the list is sent only to balancers that have subscribed.
     pub required: bool,
-    /// Seconds after which a change of the list counts as known to the balancer even if it is not subscribed.
+    /// Seconds after a change of the list from which the balancer is expected to follow it, subscribed or not.
     pub subscribe_within: f64,
     /// Failed requests for the list since the last successful one.
     pub failures: Cell<u32>,
@@ -29,7 +29,7 @@
     pub(crate) relocates_home: bool,
 }
 
-/// How much of one zone's known capacity is closed to new connections, by weight.
+/// Which share of one zone's servers is closed to new connections, by weight, among those whose load is known.
 #[derive(Default)]
 pub struct ZoneAvailability {
     /// In the current pass over the servers: the weight of those with known load, and of those among them that are
@@ -83,11 +83,11 @@
     pub two_at_once: bool,
     /// Whether a leg can be cancelled.
     pub may_cancel: bool,
-    /// The longest that a rejected client can be asked to wait, in seconds; `None` if it can't be asked.
+    /// The longest wait that a rejection can set for its client, in seconds; `None` if it can set none.
     pub max_retry_after: Option<f64>,
 }
 
-/// One server, as this balancer knows it. The fields that every selection reads come first, so that a pass over a large
+/// What this balancer keeps for one server. The fields that every selection reads come first, so that a pass over a large
 /// fleet touches few cache lines.
 #[repr(C)]
 pub(crate) struct Server {
@@ -167,7 +167,7 @@
         })
     }
 
-    /// Forgets what was learned of the server's previous process.
+    /// Discards what was learned of the server's previous process.
     pub(crate) fn reset_for_restart(&self, now: f64, started: f64) {
         self.started.set(started);
         self.health.outcome_count.set(0);
@@ -197,7 +197,7 @@
     /// The leg's key in `Server::calls`.
     pub(crate) key: u64,
     pub(crate) server: Rc<Server>,
-    /// The server's start time as known when the leg was sent.
+    /// The server's start time in the list when the leg was sent.
     pub(crate) server_started: f64,
     pub(crate) sent_at: f64,
     /// The leg's part of `Server::load`, in nanocores.
@@ -255,7 +255,7 @@
     }
 }
 
-/// A balancer: its settings and all that it knows of the servers and of its calls.
+/// A balancer: its settings, and its data on the servers and on its calls.
 pub struct Balancer {
     pub(crate) weak_self: Weak<Balancer>,
     pub(crate) host: Rc<dyn BalancerHost>,
@@ -315,6 +315,7 @@
 }
 
 impl ListSubscription {
+    /// The subscription before the first request for the list.
     pub fn new(required: bool, subscribe_within: f64) -> ListSubscription {
         ListSubscription { required, subscribe_within, failures: Cell::new(0) }
     }
@@ -334,7 +335,7 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no servers yet and does nothing before `start`. `position` is its number among
+    /// A balancer without servers, which does nothing before `start`. `position` is its number among
     /// `balancer_count` balancers, from 0.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
--- a/crates/dewhead/src/types.rs
+++ b/crates/dewhead/src/types.rs
@@ -1,4 +1,4 @@
-//! Data types shared by the decisions and the programs that embed them. Times are seconds, loads are standard cores.
+//! Data types shared by the decisions and the programs that embed them. Times are in seconds, loads in standard cores.
 
 /// Whether a call that may have run once may be sent to a server again.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -25,6 +25,7 @@
 /// A class of calls with the same requirements.
 #[derive(Clone, Debug)]
 pub struct TrafficType {
+    /// Whether and where a call that may have run can be sent again.
     pub idempotency: Idempotency,
     /// How long servers recognise a repeat of a referenced call.
     pub repeat_window: f64,
@@ -34,7 +35,7 @@
     pub message_target: f64,
     /// The longest that a client waits for the answer to a call.
     pub guard_time: f64,
-    /// What a served call earns.
+    /// The revenue of a served call.
     pub revenue: f64,
 }
 
@@ -61,10 +62,13 @@
 /// A server's entry in the list of servers.
 #[derive(Clone, Debug)]
 pub struct ServerEntry {
+    /// The server's id, the same for every balancer.
     pub id: u64,
     /// The zone's index in the settings.
     pub zone: usize,
+    /// The number of the server's cell within its zone.
     pub cell: u64,
+    /// Whether the server accepts calls.
     pub state: ServerState,
     /// The server's size relative to others. Where weights follow load, this is the size over one more than the load
     /// that the server holds per core.
