--- a/crates/dewhead-proxy/src/guard/cold_start.rs
+++ b/crates/dewhead-proxy/src/guard/cold_start.rs
@@ -60,14 +60,11 @@
         let settings = &self.settings;
         let capacity_share =
             settings.cold_share + (1.0 - settings.cold_share) * (age / settings.warm_after).clamp(0.0, 1.0);
-        let agreed_per_weight = if self.max_ready_weight > 0.0 {
-            settings.agreed_connections / self.max_ready_weight
-        } else {
-            0.0
-        };
+        let quota_per_weight =
+            if self.max_ready_weight > 0.0 { settings.total_quota / self.max_ready_weight } else { 0.0 };
         // The connections that fill a warm server of this size, taken as what others of its size carry.
         let full_connections =
-            weight * agreed_per_weight.max(self.max_connections_per_weight * settings.proxies);
+            weight * quota_per_weight.max(self.max_connections_per_weight * settings.proxies);
         let allowed = settings.max_capacity_multiple * settings.window * capacity_share * full_connections
             / settings.warm_after;
         let (root_multiple, margin) = if allowed < SMALL_COUNT { SMALL_COUNT_TOLERANCE } else { TOLERANCE };
--- a/crates/dewhead-proxy/tests/guard.rs
+++ b/crates/dewhead-proxy/tests/guard.rs
@@ -102,7 +102,7 @@
         max_capacity_multiple: 2.5,
         window: 2.0,
         proxies: 30.0,
-        agreed_connections: 2000.0,
+        total_quota: 2000.0,
         weights_are_sizes: true,
     };
     let mut limit = ColdStartLimit::new(terms);
--- a/crates/dewhead-startup/src/fields.rs
+++ b/crates/dewhead-startup/src/fields.rs
@@ -5,7 +5,7 @@
 /// A parsed value, or a message that names the field that is missing or invalid.
 pub type ParseResult<T> = Result<T, String>;
 
-/// A field that must be present and not null.
+/// Returns a field that must be present and not null.
 pub fn field<'a>(of: &'a Value, name: &str) -> ParseResult<&'a Value> {
     of.get(name).filter(|v| !v.is_null()).ok_or_else(|| format!("field '{name}' is missing"))
 }
@@ -57,7 +57,7 @@
     names.iter().position(|n| n == value).ok_or_else(|| format!("field '{name}' names unknown '{value}'"))
 }
 
-/// A field that may be absent or null, read by `read` otherwise.
+/// Reads a field with `read` unless it is absent or null.
 pub fn optional<'a, T>(
     of: &'a Value,
     name: &str,
--- a/crates/dewhead-startup/src/lib.rs
+++ b/crates/dewhead-startup/src/lib.rs
@@ -1,5 +1,5 @@
-//! Parses the settings object that an instance is given at its start. Both hosts, the simulator's adapter and the proxy,
-//! build their balancer from it.
+//! Parses the settings object that a balancer is started with. Both hosts, the simulator's adapter and the proxy, build
+//! their balancer from it.
 
 pub mod fields;
 pub mod validation;
@@ -13,7 +13,8 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// The names that calls and servers refer to. The balancer knows them by their index here.
+/// The names by which calls and the server list refer to zones, traffic types and tenants. The balancer uses the index
+/// of a name here instead.
 pub struct KnownNames {
     /// Zones.
     pub zones: Vec<String>,
@@ -26,18 +27,18 @@
 /// The settings about servers that have just started, for checks that are independent of the balancer's decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartSettings {
-    /// The share of its capacity that a server has at its start, at least.
+    /// The share of its full capacity that a server has at its start, at least, 0 to 1.
     pub cold_share: f64,
     /// The age at which a server is warm, at the latest, in seconds.
     pub warm_after: f64,
-    /// A server that is sent this many times its present capacity within the window fails.
+    /// A server that is sent this multiple of its present capacity within the window fails.
     pub max_capacity_multiple: f64,
     /// The length of the window, in seconds.
     pub window: f64,
     /// The number of proxies.
     pub proxies: f64,
     /// The sum of all tenants' connection quotas; 0 where the settings have none.
-    pub agreed_connections: f64,
+    pub total_quota: f64,
     /// Whether a server's weight is its size.
     pub weights_are_sizes: bool,
 }
@@ -46,38 +47,38 @@
 pub struct Startup {
     /// The names that the settings define.
     pub names: KnownNames,
-    /// Index within a load report of the ratio of requested load to capacity, if servers report it.
-    pub requested_load_field: Option<usize>,
+    /// Index, within a load report, of the ratio of offered load to capacity, if servers report it.
+    pub offered_load_field: Option<usize>,
     /// Whether calls of the same group share work on a server.
     pub groups: bool,
     /// Whether the server list must be subscribed to.
     pub must_subscribe: bool,
-    /// A connection to a server that is not established within this is given up, in seconds.
+    /// The time within which a connection to a server must be established, in seconds.
     pub connect_timeout: f64,
     /// The longest guard time of all traffic types, in seconds.
     pub longest_guard_time: f64,
     /// The shortest message target of all traffic types, in seconds.
     pub shortest_message_target: f64,
-    /// This balancer's index among all balancers.
+    /// This balancer's number among all balancers, from 0.
     position: usize,
-    /// The number of all balancers.
-    siblings: usize,
+    /// The number of balancers, this one included.
+    balancer_count: usize,
     traffic_types: Vec<TrafficType>,
     tenants: Vec<Tenant>,
-    /// The revenue of traffic beyond a tenant's share, relative to traffic within it.
+    /// The revenue of a call beyond its tenant's quota, relative to 1 within it.
     overage_revenue: f64,
-    /// Without a subscription the list counts as received after this, in seconds.
-    list_assumed_after: f64,
-    /// Index of this balancer's zone.
+    /// Seconds after a change of the list from which the balancer is expected to follow it, subscribed or not.
+    subscribe_within: f64,
+    /// Index of this balancer's zone in the names.
     home_zone: usize,
-    /// The price of a connection to another zone.
-    cross_zone_price: f64,
-    /// The price of moving a connection.
+    /// The cost of serving a call in another zone, relative to the call's revenue.
+    crossing_price: f64,
+    /// The cost of relocating a connection, relative to its call's revenue.
     move_price: f64,
     slow_start: SlowStart,
-    legs: LegPolicy,
+    leg_policy: LegPolicy,
     /// Whether the weights in the list follow the servers' load.
-    live_weights: bool,
+    weights_follow_load: bool,
     /// Whether servers report their load when probed, where the host's protocol has a probe.
     pub probes: bool,
 }
@@ -100,7 +101,7 @@
             let message_target =
                 message_targets.and_then(|m| m.get(index)).and_then(Value::as_f64).map(|ms| ms / 1000.0);
             traffic_types.push(TrafficType {
-                idempotency: parse_effect(entry)?,
+                idempotency: parse_idempotency(entry)?,
                 repeat_window: optional(entry, "repeatWindow", seconds)?.unwrap_or(0.0),
                 setup_target,
                 message_target: message_target.unwrap_or(setup_target),
@@ -112,13 +113,13 @@
         let tenant_settings = optional(settings, "tenants", array)?.unwrap_or(&no_tenants);
         let quotas = optional(specifics, "tenantQuotaConnections", array)?;
         let parse_tenant = |(index, entry): (usize, &Value)| {
-            let standing = quotas.and_then(|q| q.get(index)).and_then(Value::as_f64).unwrap_or(0.0);
-            Ok(Tenant { share: number(entry, "share")?, quota_connections: standing })
+            let quota = quotas.and_then(|q| q.get(index)).and_then(Value::as_f64).unwrap_or(0.0);
+            Ok(Tenant { share: number(entry, "share")?, quota_connections: quota })
         };
         let feedback = field(settings, "feedback")?;
         let reported = text(feedback, "how")? != "off";
-        let requested_load_field = text_array(feedback, "fields")?.iter().position(|f| reported && f == "x0");
-        let probes = requested_load_field.is_some() && optional(limits, "probes", boolean)?.unwrap_or(false);
+        let offered_load_field = text_array(feedback, "fields")?.iter().position(|f| reported && f == "x0");
+        let probes = offered_load_field.is_some() && optional(limits, "probes", boolean)?.unwrap_or(false);
         let slow_start = SlowStart {
             cold_share: number(obligations, "coldShare")?,
             // A warm-up time of 0 is valid, and times are divided by it.
@@ -127,7 +128,7 @@
             window: seconds(obligations, "tipAfter")?,
         };
         let may_send_retry_after = boolean(limits, "retryAfter")?;
-        let legs = LegPolicy {
+        let leg_policy = LegPolicy {
             max_legs: integer(limits, "mostLegs")?.min(64) as u32,
             two_at_once: boolean(limits, "secondCopies")?,
             may_cancel: boolean(limits, "cancel")?,
@@ -141,7 +142,7 @@
             list.iter().map(|entry| text(entry, "name").map(str::to_owned)).collect()
         };
         Ok(Startup {
-            requested_load_field,
+            offered_load_field,
             probes,
             groups: optional(specifics, "groups", boolean)?.unwrap_or(false),
             must_subscribe: text(settings, "membershipMode")? == "subscribe",
@@ -152,17 +153,17 @@
                 .map(|t| t.message_target)
                 .fold(f64::INFINITY, f64::min),
             position: integer(settings, "position")? as usize,
-            siblings: integer(settings, "siblings")? as usize,
+            balancer_count: integer(settings, "siblings")? as usize,
             traffic_types,
             tenants: tenant_settings.iter().enumerate().map(parse_tenant).collect::<ParseResult<_>>()?,
             overage_revenue: optional(settings, "overageRevenue", number)?.unwrap_or(1.0),
-            list_assumed_after: optional(obligations, "mustAskIn", seconds)?.unwrap_or(10.0),
+            subscribe_within: optional(obligations, "mustAskIn", seconds)?.unwrap_or(10.0),
             home_zone: index_in(settings, "locality", &zones)?,
-            cross_zone_price: number(deductions, "crossZone")?,
+            crossing_price: number(deductions, "crossZone")?,
             move_price: number(deductions, "moves")?,
             slow_start,
-            legs,
-            live_weights: match optional(settings, "weights", text)?.unwrap_or("nominal") {
+            leg_policy,
+            weights_follow_load: match optional(settings, "weights", text)?.unwrap_or("nominal") {
                 "live" => true,
                 "off" | "nominal" | "rough" => false,
                 other => return Err(format!("field 'weights' names unknown '{other}'")),
@@ -187,45 +188,45 @@
             warm_after: self.slow_start.warm_after,
             max_capacity_multiple: self.slow_start.overload_multiple,
             window: self.slow_start.window,
-            proxies: self.siblings.max(1) as f64,
-            agreed_connections: self.tenants.iter().map(|tenant| tenant.quota_connections).sum(),
-            weights_are_sizes: !self.live_weights,
+            proxies: self.balancer_count.max(1) as f64,
+            total_quota: self.tenants.iter().map(|tenant| tenant.quota_connections).sum(),
+            weights_are_sizes: !self.weights_follow_load,
         }
     }
 
-    /// Whether two attempts of a call may be open at the same time.
+    /// Whether two legs of a repeatable call may be active at the same time.
     pub fn two_at_once(&self) -> bool {
-        self.legs.two_at_once
+        self.leg_policy.two_at_once
     }
 
-    /// The traffic types and the names, for hosts that place calls by another rule.
+    /// The traffic types and the names, for hosts that choose servers without a balancer.
     pub fn into_traffic_types_and_names(self) -> (Vec<TrafficType>, KnownNames) {
         (self.traffic_types, self.names)
     }
 
     /// Builds the balancer, and returns the names that its host needs.
-    pub fn into_balancer(self, seed: u128, door: Rc<dyn BalancerHost>) -> (Rc<Balancer>, KnownNames) {
+    pub fn into_balancer(self, seed: u128, host: Rc<dyn BalancerHost>) -> (Rc<Balancer>, KnownNames) {
         let balancer = Balancer::new(
             seed,
-            door,
+            host,
             self.position,
-            self.siblings,
+            self.balancer_count,
             self.traffic_types,
             TenantShares::new(self.tenants, self.overage_revenue),
-            ListSubscription::new(self.must_subscribe, self.list_assumed_after),
-            Locality::new(self.home_zone, self.cross_zone_price, self.move_price),
+            ListSubscription::new(self.must_subscribe, self.subscribe_within),
+            Locality::new(self.home_zone, self.crossing_price, self.move_price),
             self.names.zones.len(),
             self.slow_start,
-            self.legs,
+            self.leg_policy,
             if self.groups { 1.0 } else { 0.0 },
-            self.live_weights,
+            self.weights_follow_load,
             self.probes,
         );
         (balancer, self.names)
     }
 }
 
-fn parse_effect(of: &Value) -> ParseResult<Idempotency> {
+fn parse_idempotency(of: &Value) -> ParseResult<Idempotency> {
     Ok(match text(of, "idempotency")? {
         "retryable" => Idempotency::Repeatable,
         "fragile" => Idempotency::OnceOnly,
--- a/crates/dewhead-startup/src/validation.rs
+++ b/crates/dewhead-startup/src/validation.rs
@@ -1,6 +1,6 @@
-//! Validation of settings that a person writes. Settings that no deployment can mean are refused with the key; settings that
-//! are valid but unusual are accepted, with a remark where they have no or little effect. The simulator generates its
-//! settings and skips this validation.
+//! Validation of settings that a person has written. Settings that make sense in no deployment are refused, with an error
+//! that names the key; settings that are valid but unusual are accepted, with a remark where they have little or no effect.
+//! The simulator generates its settings and skips this validation.
 
 use crate::fields::{array, boolean, field, number, optional, text, text_array, ParseResult};
 use serde_json::Value;
@@ -12,8 +12,8 @@
 /// The key that is invalid.
 pub fn validate(settings: &Value) -> ParseResult<Vec<String>> {
     let mut remarks = Vec::new();
-    let live_weights = optional(settings, "weights", text)? == Some("live");
-    if live_weights && text(settings, "membershipMode")? == "subscribe" {
+    let weights_follow_load = optional(settings, "weights", text)? == Some("live");
+    if weights_follow_load && text(settings, "membershipMode")? == "subscribe" {
         remarks.push(
             "field 'weights' is live with 'membershipMode' subscribe: the load that the weights reflect is outdated"
                 .into(),
@@ -22,7 +22,7 @@
     let feedback = field(settings, "feedback")?;
     match text(feedback, "how")? {
         "off" => {}
-        // A proxy that refused to start would serve nobody, and placement by weights alone is nearly as good.
+        // Accepted, as a proxy that did not start would serve no client, and placing calls by weights alone is nearly as good.
         how @ ("on_probe" | "inline") => {
             text_array(feedback, "fields")?;
             optional(field(settings, "limits")?, "probes", boolean)?;
@@ -51,7 +51,7 @@
     }
 }
 
-/// Checks the numbers for values that no deployment can mean.
+/// Checks the numbers for values that make sense in no deployment.
 fn check_numbers(settings: &Value) -> ParseResult<()> {
     let check_minimum = |section: &str, names: &[&str], must_be_positive: bool| -> ParseResult<()> {
         for name in names {
--- a/crates/dewhead-wirehost/src/host.rs
+++ b/crates/dewhead-wirehost/src/host.rs
@@ -22,7 +22,7 @@
     balancer: Rc<Balancer>,
     names: KnownNames,
     /// Index within a load report of the ratio of requested load to capacity, if servers report it.
-    requested_load_field: Option<usize>,
+    offered_load_field: Option<usize>,
     /// The open calls by id.
     calls: HashMap<u64, Rc<Call>>,
     /// Calls that ended within the last `LATE_EVENTS_MS`, with when they ended in milliseconds. An event about one of them is
@@ -156,14 +156,14 @@
         let seed = u128::from(integer(of, "initSeed")?);
         let startup = Startup::parse(field(of, "profileData")?)?;
         let actions = Rc::new(ActionWriter::new(instance_name, output));
-        let requested_load_field = startup.requested_load_field;
+        let offered_load_field = startup.offered_load_field;
         let (balancer, names) = startup.into_balancer(seed, actions.clone());
         balancer.start(now);
         Ok(Instance {
             actions,
             balancer,
             names,
-            requested_load_field,
+            offered_load_field,
             calls: HashMap::new(),
             ended_calls: VecDeque::new(),
         })
@@ -262,7 +262,7 @@
     /// The ratio of requested load to capacity, where the event contains a load report.
     fn requested_load(&self, of: &Value) -> ParseResult<Option<f64>> {
         let usage = optional(of, "usage", array)?;
-        Ok(self.requested_load_field.and_then(|index| usage?.get(index)?.as_f64()))
+        Ok(self.offered_load_field.and_then(|index| usage?.get(index)?.as_f64()))
     }
 
     /// Applies an event to the call that it names, and removes the call if that ends it.
