--- a/crates/dewhead-wirehost/src/actions.rs
+++ b/crates/dewhead-wirehost/src/actions.rs
@@ -6,18 +6,19 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// The actions of one batch, from all instances, in the order they were taken.
+/// The actions of one batch, from all instances, in the order in which they were requested.
 pub type Output = Rc<RefCell<String>>;
 
 /// Writes the actions of one instance.
 pub struct ActionWriter {
     /// The instance's name on the wire.
     pub instance: String,
+    /// Where the actions are written.
     pub output: Output,
     /// The latest timer token.
     last_token: Cell<u64>,
-    /// By timer token: the call that the timer is for, or none for the balancer's own. An entry is removed when its timer
-    /// fires.
+    /// By timer token: the call that the timer is for, or none for a timer of the balancer. An entry is removed when its
+    /// timer fires.
     timers: RefCell<HashMap<u64, Option<u64>>>,
 }
 
@@ -32,7 +33,8 @@
         }
     }
 
-    /// Removes a timer that has fired and returns the call that it is for; the outer `None` if this instance set no such timer.
+    /// Removes a timer that has fired and returns the call that it is for; the outer `None` if this instance has no such
+    /// timer.
     pub fn take_timer(&self, token: u64) -> Option<Option<u64>> {
         self.timers.borrow_mut().remove(&token)
     }
@@ -48,7 +50,7 @@
     }
 
     /// Requests a timer for `at`, in seconds.
-    fn timer(&self, at: f64, call: Option<u64>) {
+    fn request_timer(&self, at: f64, call: Option<u64>) {
         let token = self.last_token.get() + 1;
         self.last_token.set(token);
         self.timers.borrow_mut().insert(token, call);
@@ -65,8 +67,8 @@
         );
     }
 
-    fn reject(&self, call: u64, stay_away: Option<f64>) {
-        let backoff = stay_away.unwrap_or(0.0) * 1000.0;
+    fn reject(&self, call: u64, retry_after: Option<f64>) {
+        let backoff = retry_after.unwrap_or(0.0) * 1000.0;
         self.action("SAY_NO", format_args!(",\"txn\":\"{call:016x}\",\"backoff\":{backoff:.3}"));
     }
 
@@ -83,11 +85,11 @@
     }
 
     fn set_call_timer(&self, call: u64, at: f64) {
-        self.timer(at, Some(call));
+        self.request_timer(at, Some(call));
     }
 
     fn set_timer(&self, at: f64) {
-        self.timer(at, None);
+        self.request_timer(at, None);
     }
 
     fn subscribe_to_list(&self) {
--- a/crates/dewhead-wirehost/src/host.rs
+++ b/crates/dewhead-wirehost/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of one process: events from the simulator's wire become calls on their balancers.
+//! The balancers of one process: events from the simulator's wire become method calls on them.
 
 use crate::actions::{ActionWriter, Output};
 use dewhead::state::{Balancer, Call};
@@ -13,7 +13,7 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// How long the wire may still refer to a call that has ended, in milliseconds.
+/// How long events may still refer to a call that has ended, in milliseconds.
 const LATE_EVENTS_MS: f64 = 1000.0;
 
 /// One balancer and what its host keeps for it.
@@ -21,12 +21,12 @@
     actions: Rc<ActionWriter>,
     balancer: Rc<Balancer>,
     names: KnownNames,
-    /// Index within a load report of the ratio of requested load to capacity, if servers report it.
+    /// Index, within a load report, of the ratio of offered load to capacity, if servers report it.
     offered_load_field: Option<usize>,
     /// The open calls by id.
     calls: HashMap<u64, Rc<Call>>,
-    /// Calls that ended within the last `LATE_EVENTS_MS`, with when they ended in milliseconds. An event about one of them is
-    /// late, not an error.
+    /// Calls that ended within the last `LATE_EVENTS_MS`, each after the time at which it ended, in milliseconds. An event
+    /// that refers to one of them is late, not an error.
     ended_calls: VecDeque<(f64, u64)>,
 }
 
@@ -34,14 +34,14 @@
 #[derive(Default)]
 pub struct Host {
     output: Output,
-    /// By their name on the wire.
+    /// By name on the wire.
     instances: HashMap<String, Instance>,
     /// Server lists by slot number; the wire reuses the same few slots.
     lists: HashMap<u64, List>,
 }
 
-/// A server list as received, and as last decoded. Where weights follow load, a list is sent to hundreds of instances each
-/// second, all with the same zone names; decoding it for each of them took most of the time (ktm-ingest, big-1).
+/// A server list as received, and as last decoded. Where weights follow load, each second a list is sent to hundreds of
+/// instances that have the same zone names; decoding it for each of them took most of the time (ktm-ingest, big-1).
 struct List {
     rows: Value,
     decoded: RefCell<Option<Decoded>>,
@@ -169,9 +169,9 @@
         })
     }
 
-    /// Hands a version of the server list to the balancer.
+    /// Passes an update of the server list to the balancer.
     fn list(&self, now: f64, of: &Value, lists: &HashMap<u64, List>) -> ParseResult<()> {
-        let news = match text(of, "form")? {
+        let update = match text(of, "form")? {
             "delta" => ListUpdate::Delta,
             "full" => ListUpdate::Full,
             "cached" => ListUpdate::Cached,
@@ -184,7 +184,7 @@
         let slot = integer(of, "slot")?;
         let list = lists.get(&slot).ok_or_else(|| format!("field 'slot' names unknown list {slot}"))?;
         let entries = list.entries(&self.names.zones)?;
-        self.balancer.on_list_update(now, news, &entries);
+        self.balancer.on_list_update(now, update, &entries);
         Ok(())
     }
 
@@ -194,7 +194,7 @@
         match name {
             "INGRESS" | "ALREADY_OPEN" => {
                 let id = call_id(of)?;
-                let wanted = CallRequest {
+                let request = CallRequest {
                     traffic_type: index_in(of, "band", &self.names.traffic_types)?,
                     tenant: match of.get("org") {
                         Some(Value::String(_)) => Some(index_in(of, "org", &self.names.tenants)?),
@@ -206,11 +206,11 @@
                     group: optional(of, "teamId", integer)?,
                 };
                 let call = match name {
-                    "INGRESS" => self.balancer.accept_call(now, id, wanted),
-                    _ => self.balancer.adopt_connection(now, id, wanted, server_id(of)?),
+                    "INGRESS" => self.balancer.accept_call(now, id, request),
+                    _ => self.balancer.adopt_connection(now, id, request, server_id(of)?),
                 };
                 self.calls.insert(id, call);
-                self.remove_if_over(wall, id);
+                self.remove_if_finished(wall, id);
             }
             "FIRST_BYTE" => {
                 let leg = integer(of, "roundNo")? as usize;
@@ -234,9 +234,9 @@
             })?,
             "ATTEMPT_END" => {
                 let (leg, last) = (integer(of, "roundNo")? as usize, boolean(of, "last")?);
-                let ending = parse_ending(text(of, "result")?)?;
+                let outcome = parse_outcome(text(of, "result")?)?;
                 self.with_call(wall, of, |call| {
-                    call.on_leg_ended(now, leg, ending, last);
+                    call.on_leg_ended(now, leg, outcome, last);
                     Ok(())
                 })?;
             }
@@ -245,13 +245,13 @@
                 Some(Some(id)) => {
                     if let Some(call) = self.calls.get(&id).cloned() {
                         call.on_timer(now);
-                        self.remove_if_over(wall, id);
+                        self.remove_if_finished(wall, id);
                     }
                 }
                 None => {}
             },
-            // A call that ends by this is removed when its probe timer fires.
-            "PROBE_RESULT" => self.balancer.on_probe_result(now, server_id(of)?, self.requested_load(of)?),
+            // A call that this ends is removed when the timer of its probe fires.
+            "PROBE_RESULT" => self.balancer.on_probe_result(now, server_id(of)?, self.offered_load(of)?),
             // Balancers send nothing to their peers.
             "FROM_PEER" => {}
             other => return Err(format!("unknown event '{other}'")),
@@ -259,8 +259,8 @@
         Ok(())
     }
 
-    /// The ratio of requested load to capacity, where the event contains a load report.
-    fn requested_load(&self, of: &Value) -> ParseResult<Option<f64>> {
+    /// The ratio of offered load to capacity, if the event contains a load report.
+    fn offered_load(&self, of: &Value) -> ParseResult<Option<f64>> {
         let usage = optional(of, "usage", array)?;
         Ok(self.offered_load_field.and_then(|index| usage?.get(index)?.as_f64()))
     }
@@ -278,12 +278,12 @@
             None if self.ended_calls.iter().any(|(_, ended)| *ended == id) => return Ok(()),
             None => return Err("field 'txn' names an unknown call".into()),
         }
-        self.remove_if_over(wall, id);
+        self.remove_if_finished(wall, id);
         Ok(())
     }
 
-    /// Removes a call if it is over, and forgets calls that ended more than `LATE_EVENTS_MS` ago.
-    fn remove_if_over(&mut self, wall: f64, id: u64) {
+    /// Removes a call if it is finished, and the ended calls that are older than `LATE_EVENTS_MS`.
+    fn remove_if_finished(&mut self, wall: f64, id: u64) {
         if self.calls.get(&id).is_some_and(|call| call.is_finished()) {
             self.calls.remove(&id);
             self.ended_calls.push_back((wall, id));
@@ -294,7 +294,7 @@
     }
 }
 
-fn parse_ending(name: &str) -> ParseResult<LegOutcome> {
+fn parse_outcome(name: &str) -> ParseResult<LegOutcome> {
     Ok(match name {
         "OK" => LegOutcome::Served,
         "INTERNAL" => LegOutcome::Error,
