--- a/crates/dewhead-lab/src/plain.rs
+++ b/crates/dewhead-lab/src/plain.rs
@@ -523,7 +523,7 @@
                         }
                         self.effects.push(Effect::Write(Endpoint::Client(key), b"PONG\r\n".to_vec()));
                     }
-                    Ok(FirstLine::Open { wanted, wait_range, server_range, .. }) => {
+                    Ok(FirstLine::Open { request: wanted, wait_range, server_range, .. }) => {
                         session.wait = wait_range;
                         session.kind = wanted.traffic_type;
                         session.until = wanted.deadline;
--- a/crates/dewhead-proxy/src/control/predecessor.rs
+++ b/crates/dewhead-proxy/src/control/predecessor.rs
@@ -1,6 +1,6 @@
-//! The process that this one takes over from. It is asked for its listening socket and its learned state, and its
-//! connection is watched until it ends. It may still serve its own clients for a minute, and a supervisor that knows
-//! only this process sends its stop signal only here, so this process passes it on.
+//! The process that this one takes over from: requests its listening socket and its learned state, and watches the
+//! connection to it until it ends. It may serve its own clients for another minute. A supervisor may send its stop signal
+//! to this process only, which therefore passes it on.
 
 use super::client::{parse_response, RESPONSE_TIMEOUT};
 use super::protocol;
@@ -17,7 +17,7 @@
 /// Longest response with the learned state that is read.
 const MAX_HANDOVER_BYTES: usize = 64 << 20;
 
-/// A running process that has sent its listening socket and its learned state. It serves on until `confirm_takeover`;
+/// A running process that has sent its listening socket and its learned state. It continues to serve until `confirm_takeover`;
 /// if this value is dropped before that, nothing changes there.
 pub struct Predecessor {
     stream: BufReader<BlockingUnixStream>,
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// One line: the predecessor has ended, which names the socket, or it was asked to stop in the meantime.
+    /// One line: the predecessor has ended, which names the socket, or it has received a stop request in the meantime.
     pub fn confirm_takeover(
         mut self,
         seconds: Option<f64>,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Reads and ignores responses; whether the process has ended.
+    /// Reads and ignores responses. Returns whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         let mut response = [0; 1024];
         loop {
--- a/crates/dewhead-proxy/src/control/protocol.rs
+++ b/crates/dewhead-proxy/src/control/protocol.rs
@@ -12,7 +12,8 @@
     Status,
     /// `connections`: the open sessions, up to 1000 of them.
     Connections,
-    /// `drain`: move all clients away over this time in seconds, and accept no new ones from fronts.
+    /// `drain`: move all clients away over this time in seconds, and leave `PING` unanswered, so that front-end load
+    /// balancers send no new ones.
     Drain(Option<f64>),
     /// `undrain`: end the drain.
     Undrain,
@@ -50,7 +51,7 @@
         Some("handover") => match value.get("program") {
             None | Some(Value::Null) => Ok(Request::Handover(None)),
             Some(Value::String(path)) => Ok(Request::Handover(Some(path.clone()))),
-            Some(_) => Err("field 'program' is not a text".to_owned()),
+            Some(_) => Err("field 'program' is not a string".to_owned()),
         },
         Some("succeed") => Ok(Request::TakeOver),
         Some("succeeded") => Ok(Request::TakenOver(seconds(&value)?)),
--- a/crates/dewhead-proxy/src/control/socket.rs
+++ b/crates/dewhead-proxy/src/control/socket.rs
@@ -13,7 +13,7 @@
 const MAX_CONNECTIONS: usize = 4;
 /// Most bytes of a connection that are not processed yet, and so the longest request line.
 const MAX_LINE_BYTES: usize = 4096;
-/// Tokens are assigned from the top, out of reach of the tokens of session slots.
+/// Tokens are assigned downwards from the highest, so that they do not collide with those of session slots.
 const LISTENER: Token = Token(usize::MAX - 1);
 /// Token of the first connection; those of further connections follow downwards.
 const FIRST_CONNECTION: usize = usize::MAX - 2;
--- a/crates/dewhead-proxy/src/event_loop.rs
+++ b/crates/dewhead-proxy/src/event_loop.rs
@@ -32,7 +32,7 @@
 /// First token of the client and server sockets of sessions.
 const FIRST_SESSION_TOKEN: usize = 5;
 /// Size of one read. It also bounds the bytes buffered for one socket, apart from messages of the proxy itself, as
-/// nothing is read from one side while the other side has unsent bytes.
+/// nothing is read from one side of a session while the other side has unsent bytes.
 const READ_BUFFER_BYTES: usize = 8192;
 /// Reads from one socket before the other sockets are served.
 const MAX_READS_PER_SOCKET: usize = 8;
@@ -66,7 +66,7 @@
     until: f64,
 }
 
-/// Progress of a handover to a successor. The values are the slots of its connection to the control socket.
+/// Progress of a handover to a successor. The values are the slot of its connection to the control socket.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum SuccessorState {
     None,
@@ -107,7 +107,7 @@
     successor_state: SuccessorState,
     /// The process that this one took over from, until it has ended.
     predecessor: Option<RetiringPredecessor>,
-    /// Once this process is asked to stop: until when it waits for the predecessor to end.
+    /// Until when this process waits for the predecessor to end; set when a stop is requested.
     predecessor_deadline: Option<f64>,
     /// Connection to discovery.
     watch: Option<BufferedSocket>,
@@ -120,7 +120,7 @@
     accepting: bool,
     /// When to accept again, as more clients may be pending.
     accept_at: Option<f64>,
-    /// A failure to accept has been logged, and no client was accepted since.
+    /// Whether a failure to accept has been logged, and no client was accepted since.
     accept_failure_logged: bool,
     /// Sockets on which a write or the registration failed.
     broken: VecDeque<Endpoint>,
@@ -130,20 +130,20 @@
     exit: bool,
 }
 
-fn token_of(end: Endpoint) -> Token {
-    match end {
+fn token_of(endpoint: Endpoint) -> Token {
+    match endpoint {
         Endpoint::Client(slot) => Token(FIRST_SESSION_TOKEN + 2 * slot),
         Endpoint::Server(slot) => Token(FIRST_SESSION_TOKEN + 2 * slot + 1),
     }
 }
 
-fn end_of(token: Token) -> Option<Endpoint> {
+fn endpoint_of(token: Token) -> Option<Endpoint> {
     let offset = token.0.checked_sub(FIRST_SESSION_TOKEN)?;
     Some(if offset % 2 == 0 { Endpoint::Client(offset / 2) } else { Endpoint::Server(offset / 2) })
 }
 
-/// Reads and discards the bytes that woke the loop.
-fn drain_wakeups(socket: &mut UnixStream) {
+/// Reads and discards the bytes that wake the loop.
+fn discard_wakeups(socket: &mut UnixStream) {
     let mut buffer = [0; 16];
     while matches!(socket.read(&mut buffer), Ok(n) if n > 0) {}
 }
@@ -204,7 +204,7 @@
         })
     }
 
-    /// Runs until the reducer ends the process and, if this process was asked to stop, until the predecessor has ended.
+    /// Runs until the reducer ends the process and, if a stop was requested, until the predecessor has ended.
     ///
     /// # Errors
     ///
@@ -232,7 +232,7 @@
             };
             let polled_at = self.clock.now();
             match self.poll.poll(&mut events, wait) {
-                // Goes on with the iteration, so that due timers run even while signals keep arriving.
+                // Continues with the iteration, so that due timers run even while signals keep arriving.
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => events.clear(),
                 other => other?,
             }
@@ -242,19 +242,19 @@
             if let Some(event) = events.iter().find(|e| e.token() == WATCH) {
                 self.watch_ready(now, event.is_writable());
             }
-            for end in std::mem::take(&mut self.pending_reads) {
-                self.read(now, end);
+            for endpoint in std::mem::take(&mut self.pending_reads) {
+                self.read(now, endpoint);
             }
             let (mut stop, mut reload) = (false, false);
             for event in events.iter() {
                 match event.token() {
                     LISTENER => self.accept_at = Some(now),
                     STOP_WAKEUP => {
-                        drain_wakeups(&mut self.stop_wakeup);
+                        discard_wakeups(&mut self.stop_wakeup);
                         stop = true;
                     }
                     RELOAD_WAKEUP => {
-                        drain_wakeups(&mut self.reload_wakeup);
+                        discard_wakeups(&mut self.reload_wakeup);
                         reload = true;
                     }
                     PREDECESSOR => self.predecessor_ready(),
@@ -262,17 +262,17 @@
                     other => {
                         if let Some(connection) = ControlSocket::connection_of(other) {
                             self.control_socket_ready(now, connection);
-                        } else if let Some(end) = end_of(other) {
+                        } else if let Some(endpoint) = endpoint_of(other) {
                             self.socket_ready(
                                 now,
-                                end,
+                                endpoint,
                                 event.is_readable() || event.is_read_closed() || event.is_error(),
                             );
                         }
                     }
                 }
             }
-            // The flag decides: its byte may have been lost, and a byte whose flag is already cleared is a repetition.
+            // Only the flags are used: a byte may have been lost, and one whose flag is already cleared is a repetition.
             if let Some(flags) = &self.signal_flags {
                 (stop, reload) = (flags.stop.take(), flags.reload.take());
             }
@@ -284,7 +284,7 @@
             }
             self.close_broken_sockets(now);
             // Timers run only after all earlier bytes are read. Otherwise a process that was held up for a second
-            // treats unread answers as missing, and turns away clients whose answer has arrived. One poll may not
+            // treats unread answers as missing, and rejects clients whose answer has arrived. One poll may not
             // return all readable sockets.
             polls_since_tick += 1;
             if events.iter().count() < MAX_POLL_EVENTS || polls_since_tick > MAX_POLLS_WITHOUT_TICK {
@@ -316,11 +316,11 @@
 
     /// Reports the sockets in `broken` as closed.
     fn close_broken_sockets(&mut self, now: f64) {
-        while let Some(end) = self.broken.pop_front() {
+        while let Some(endpoint) = self.broken.pop_front() {
             // Bytes received before the failure are still valid, above all a final response.
-            self.read(now, end);
-            if self.link(end).is_some_and(|l| !l.read_ended) {
-                self.dispatch(now, Event::Closed(end, CloseKind::Abortive), &[]);
+            self.read(now, endpoint);
+            if self.connection(endpoint).is_some_and(|l| !l.read_ended) {
+                self.dispatch(now, Event::Closed(endpoint, CloseKind::Abortive), &[]);
             }
         }
     }
@@ -347,7 +347,7 @@
                     }
                     self.handle_stage_event(now, StageEvent::ReloadFinished);
                 }
-                // The request handler dispatches the drain, as it has its duration.
+                // `handle_request` dispatches the drain, as its duration is part of the request.
                 StageAction::Drain => {}
                 StageAction::Undrain => self.dispatch(now, Event::Undrain, &[]),
                 StageAction::Stop => {
@@ -372,37 +372,37 @@
         self.reload_retry = (!done).then_some(ReloadRetry { next_at: now + RELOAD_RETRY_SECONDS, ..retry });
     }
 
-    /// The open connection of this end.
-    fn link(&mut self, end: Endpoint) -> Option<&mut BufferedSocket> {
-        match end {
+    /// The endpoint's open connection.
+    fn connection(&mut self, endpoint: Endpoint) -> Option<&mut BufferedSocket> {
+        match endpoint {
             Endpoint::Client(slot) => self.clients.get_mut(slot)?.as_mut(),
             Endpoint::Server(slot) => self.servers.get_mut(slot)?.as_mut(),
         }
     }
 
     /// Handles readiness of a session's socket: a completed connect, room to write, bytes to read.
-    fn socket_ready(&mut self, now: f64, end: Endpoint, readable: bool) {
-        let Some(link) = self.link(end) else { return };
-        if link.connecting {
-            match link.socket.take_error() {
+    fn socket_ready(&mut self, now: f64, endpoint: Endpoint, readable: bool) {
+        let Some(connection) = self.connection(endpoint) else { return };
+        if connection.connecting {
+            match connection.socket.take_error() {
                 Ok(None) => {}
-                _ => return self.connect_failed(now, end),
+                _ => return self.connect_failed(now, endpoint),
             }
-            match link.socket.peer_addr() {
+            match connection.socket.peer_addr() {
                 Ok(_) => {
-                    link.connecting = false;
-                    if let Endpoint::Server(leg) = end {
+                    connection.connecting = false;
+                    if let Endpoint::Server(leg) = endpoint {
                         self.server_connected(now, leg);
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return,
-                Err(_) => return self.connect_failed(now, end),
+                Err(_) => return self.connect_failed(now, endpoint),
             }
         } else {
-            self.flush(now, end);
+            self.flush(now, endpoint);
         }
         if readable {
-            self.read(now, end);
+            self.read(now, endpoint);
         }
     }
 
@@ -413,112 +413,115 @@
             self.read(now, client);
         }
         // That read may have ended the leg and given its slot to another one that is still connecting.
-        if self.link(Endpoint::Server(leg)).is_some_and(|l| !l.connecting) {
+        if self.connection(Endpoint::Server(leg)).is_some_and(|l| !l.connecting) {
             self.dispatch(now, Event::Connected(leg), &[]);
         }
     }
 
     /// Handles a failed connect to a server.
-    fn connect_failed(&mut self, now: f64, end: Endpoint) {
-        if let Endpoint::Server(leg) = end {
+    fn connect_failed(&mut self, now: f64, endpoint: Endpoint) {
+        if let Endpoint::Server(leg) = endpoint {
             self.dispatch(now, Event::ConnectFailed(leg), &[]);
         }
     }
 
     /// Writes the unsent bytes of a socket.
-    fn flush(&mut self, now: f64, end: Endpoint) {
-        let Some(link) = self.link(end) else { return };
-        if link.is_flushed() {
+    fn flush(&mut self, now: f64, endpoint: Endpoint) {
+        let Some(connection) = self.connection(endpoint) else { return };
+        if connection.is_flushed() {
             return;
         }
         // The rest of a head is sent only if the client has not left.
-        if let Some(client) = link.head_pending.then_some(end).and_then(|e| self.reducer.peer_of(e)) {
+        if let Some(client) =
+            connection.head_pending.then_some(endpoint).and_then(|e| self.reducer.peer_of(e))
+        {
             self.read(now, client);
         }
-        let Some(link) = self.link(end) else { return };
-        match link.flush() {
+        let Some(connection) = self.connection(endpoint) else { return };
+        match connection.flush() {
             Ok(false) => {}
             Ok(true) => {
-                if std::mem::take(&mut link.head_pending) {
-                    if let Endpoint::Server(leg) = end {
+                if std::mem::take(&mut connection.head_pending) {
+                    if let Endpoint::Server(leg) = endpoint {
                         self.dispatch(now, Event::HeadWritten(leg), &[]);
                     }
                 }
-                // Reads from the other side were suspended while this side had unsent bytes.
-                let other = self.reducer.peer_of(end);
-                if let Some(other) = other.filter(|o| self.link(*o).is_some_and(|l| l.readable)) {
-                    self.read(now, other);
+                // Reads from the peer were suspended while this side had unsent bytes.
+                let peer = self.reducer.peer_of(endpoint);
+                if let Some(peer) = peer.filter(|p| self.connection(*p).is_some_and(|c| c.readable)) {
+                    self.read(now, peer);
                 }
             }
-            Err(_) => self.broken.push_back(end),
+            Err(_) => self.broken.push_back(endpoint),
         }
     }
 
     /// Reads from a socket, up to `MAX_READS_PER_SOCKET` times, and dispatches the bytes.
-    fn read(&mut self, now: f64, end: Endpoint) {
+    fn read(&mut self, now: f64, endpoint: Endpoint) {
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
-        // Without an established call little is expected; a client that sends more waits for the other sockets each
-        // time.
-        let reads = if self.reducer.peer_of(end).is_some() { MAX_READS_PER_SOCKET } else { 1 };
+        // Before its call is established a client sends little. One that sends more is read once per iteration, so that
+        // the other sockets are served in between.
+        let reads = if self.reducer.peer_of(endpoint).is_some() { MAX_READS_PER_SOCKET } else { 1 };
         for _ in 0..reads {
-            let other = self.reducer.peer_of(end);
-            let other_is_full = other.is_some_and(|o| self.link(o).is_some_and(|l| !l.is_flushed()));
-            let Some(link) = self.link(end).filter(|l| !l.read_ended && !l.connecting) else {
+            let peer = self.reducer.peer_of(endpoint);
+            let peer_is_full = peer.is_some_and(|p| self.connection(p).is_some_and(|c| !c.is_flushed()));
+            let Some(connection) = self.connection(endpoint).filter(|l| !l.read_ended && !l.connecting)
+            else {
                 self.read_buffer = read_buffer;
                 return;
             };
-            link.readable = other_is_full;
-            if other_is_full {
+            connection.readable = peer_is_full;
+            if peer_is_full {
                 break;
             }
-            match link.socket.read(&mut read_buffer) {
+            match connection.socket.read(&mut read_buffer) {
                 Ok(0) => {
-                    link.read_ended = true;
-                    self.dispatch(now, Event::Closed(end, CloseKind::Graceful), &[]);
+                    connection.read_ended = true;
+                    self.dispatch(now, Event::Closed(endpoint, CloseKind::Graceful), &[]);
                     break;
                 }
-                Ok(n) => self.dispatch(now, Event::Bytes(end, &read_buffer[..n]), &read_buffer[..n]),
+                Ok(n) => self.dispatch(now, Event::Bytes(endpoint, &read_buffer[..n]), &read_buffer[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     self.read_buffer = read_buffer;
                     return;
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
-                    link.read_ended = true;
-                    self.dispatch(now, Event::Closed(end, CloseKind::Abortive), &[]);
+                    connection.read_ended = true;
+                    self.dispatch(now, Event::Closed(endpoint, CloseKind::Abortive), &[]);
                     break;
                 }
             }
         }
         self.read_buffer = read_buffer;
-        if self.link(end).is_some_and(|l| !l.read_ended && !l.readable) {
-            self.pending_reads.push_back(end);
+        if self.connection(endpoint).is_some_and(|l| !l.read_ended && !l.readable) {
+            self.pending_reads.push_back(endpoint);
         }
     }
 
     /// Handles readiness of the connection to discovery.
     fn watch_ready(&mut self, now: f64, writable: bool) {
-        if let Some(ahead) = self.clock.wall_clock_offset() {
-            self.reducer.observe_wall_clock(ahead);
+        if let Some(offset) = self.clock.wall_clock_offset() {
+            self.reducer.observe_wall_clock(offset);
         }
-        let Some(link) = self.watch.as_mut() else { return };
-        if link.connecting {
+        let Some(connection) = self.watch.as_mut() else { return };
+        if connection.connecting {
             if !writable {
                 return;
             }
-            if !matches!(link.socket.take_error(), Ok(None)) || link.socket.peer_addr().is_err() {
+            if !matches!(connection.socket.take_error(), Ok(None)) || connection.socket.peer_addr().is_err() {
                 return self.watch_lost(now);
             }
-            link.connecting = false;
-            if link.flush().is_err() {
+            connection.connecting = false;
+            if connection.flush().is_err() {
                 return self.watch_lost(now);
             }
             self.dispatch(now, Event::WatchOpened, &[]);
         }
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
         // A watch that was opened in the meantime is still connecting.
-        while let Some(link) = self.watch.as_mut().filter(|l| !l.connecting) {
-            match link.socket.read(&mut read_buffer) {
+        while let Some(connection) = self.watch.as_mut().filter(|l| !l.connecting) {
+            match connection.socket.read(&mut read_buffer) {
                 Ok(0) => self.watch_lost(now),
                 Ok(n) => self.dispatch(now, Event::WatchBytes(&read_buffer[..n]), &[]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
@@ -540,12 +543,12 @@
         self.watch = None;
         let opened = TcpStream::connect(discovery).and_then(|mut socket| {
             self.poll.registry().register(&mut socket, WATCH, Interest::READABLE | Interest::WRITABLE)?;
-            let mut link = BufferedSocket::new(socket, true);
-            link.write(&[&http::watch_request(&discovery.to_string(), since)])?;
-            Ok(link)
+            let mut connection = BufferedSocket::new(socket, true);
+            connection.write(&[&http::watch_request(&discovery.to_string(), since)])?;
+            Ok(connection)
         });
         match opened {
-            Ok(link) => self.watch = Some(link),
+            Ok(connection) => self.watch = Some(connection),
             Err(_) => self.watch_lost(now),
         }
     }
@@ -564,29 +567,29 @@
     fn apply(&mut self, now: f64, bytes: &[u8]) {
         for effect in self.reducer.take_effects() {
             match effect {
-                Effect::AssignSession(slot) => self.admit(now, slot),
-                Effect::Connect(leg, to) => self.dial(now, leg, to),
+                Effect::AssignSession(slot) => self.store_accepted(now, slot),
+                Effect::Connect(leg, to) => self.connect(now, leg, to),
                 Effect::SendHead { leg, session, timeout_range, timeout_ms } => {
                     self.write_head(now, leg, session, timeout_range, timeout_ms)
                 }
-                Effect::Forward(end, range) => self.write(end, &[&bytes[range]]),
-                Effect::Write(end, text) => self.write(end, &[&text]),
-                Effect::ShutdownWrite(end) => {
-                    if let Some(link) = self.link(end) {
-                        link.finish_writing();
+                Effect::Forward(endpoint, range) => self.write(endpoint, &[&bytes[range]]),
+                Effect::Write(endpoint, text) => self.write(endpoint, &[&text]),
+                Effect::ShutdownWrite(endpoint) => {
+                    if let Some(connection) = self.connection(endpoint) {
+                        connection.finish_writing();
                     }
                 }
-                Effect::Close(end, how) => {
-                    let slot_entry = match end {
+                Effect::Close(endpoint, kind) => {
+                    let slot_entry = match endpoint {
                         Endpoint::Client(slot) => self.clients.get_mut(slot),
                         Endpoint::Server(slot) => self.servers.get_mut(slot),
                     };
                     // The slot may be reused before these queues are processed.
-                    self.broken.retain(|e| *e != end);
-                    self.pending_reads.retain(|e| *e != end);
-                    if let Some(link) = slot_entry.and_then(Option::take) {
-                        if how == CloseKind::Abortive {
-                            link.reset_on_close();
+                    self.broken.retain(|e| *e != endpoint);
+                    self.pending_reads.retain(|e| *e != endpoint);
+                    if let Some(connection) = slot_entry.and_then(Option::take) {
+                        if kind == CloseKind::Abortive {
+                            connection.reset_on_close();
                         }
                     }
                 }
@@ -599,25 +602,25 @@
     }
 
     /// Registers a session's socket with the poll and stores it in its slot.
-    fn register(&mut self, end: Endpoint, mut socket: TcpStream, connecting: bool) {
+    fn register(&mut self, endpoint: Endpoint, mut socket: TcpStream, connecting: bool) {
         let _ = socket.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
-        if let Err(e) = self.poll.registry().register(&mut socket, token_of(end), interest) {
+        if let Err(e) = self.poll.registry().register(&mut socket, token_of(endpoint), interest) {
             error!("a socket could not be registered: {e}");
-            self.broken.push_back(end);
+            self.broken.push_back(endpoint);
         }
-        let (links, slot) = match end {
+        let (connections, slot) = match endpoint {
             Endpoint::Client(slot) => (&mut self.clients, slot),
             Endpoint::Server(slot) => (&mut self.servers, slot),
         };
-        if links.len() <= slot {
-            links.resize_with(slot + 1, || None);
+        if connections.len() <= slot {
+            connections.resize_with(slot + 1, || None);
         }
-        links[slot] = Some(BufferedSocket::new(socket, connecting));
+        connections[slot] = Some(BufferedSocket::new(socket, connecting));
     }
 
     /// Connects to a server for a leg.
-    fn dial(&mut self, now: f64, leg: usize, address: SocketAddr) {
+    fn connect(&mut self, now: f64, leg: usize, address: SocketAddr) {
         match TcpStream::connect(address) {
             Ok(socket) => self.register(Endpoint::Server(leg), socket, true),
             Err(e) if is_transient(&e) => {
@@ -632,33 +635,33 @@
     }
 
     /// Writes to a socket; bytes that it does not accept are kept.
-    fn write(&mut self, end: Endpoint, parts: &[&[u8]]) {
-        let Some(link) = self.link(end) else { return };
-        if link.write(parts).is_err() {
-            self.broken.push_back(end);
+    fn write(&mut self, endpoint: Endpoint, parts: &[&[u8]]) {
+        let Some(connection) = self.connection(endpoint) else { return };
+        if connection.write(parts).is_err() {
+            self.broken.push_back(endpoint);
         }
     }
 
-    /// Forwards the first line of a session to a server, with the client's waiting time replaced by `wait_value`.
+    /// Writes the first line of a session to a server, with the client's waiting time replaced by `timeout_ms`.
     fn write_head(
         &mut self,
         now: f64,
         leg: usize,
         session: usize,
-        wait_range: std::ops::Range<usize>,
-        wait_value: u64,
+        timeout_range: std::ops::Range<usize>,
+        timeout_ms: u64,
     ) {
-        let digits = wait_value.to_string();
+        let digits = timeout_ms.to_string();
         let head = self.reducer.session_head(session);
-        let Some(link) = self.servers.get_mut(leg).and_then(Option::as_mut) else { return };
-        let outcome = if wait_range.is_empty() {
-            link.write(&[head])
+        let Some(connection) = self.servers.get_mut(leg).and_then(Option::as_mut) else { return };
+        let outcome = if timeout_range.is_empty() {
+            connection.write(&[head])
         } else {
-            link.write(&[&head[..wait_range.start], digits.as_bytes(), &head[wait_range.end..]])
+            connection.write(&[&head[..timeout_range.start], digits.as_bytes(), &head[timeout_range.end..]])
         };
-        link.head_pending = !link.is_flushed();
+        connection.head_pending = !connection.is_flushed();
         match outcome {
-            Ok(()) if link.head_pending => {}
+            Ok(()) if connection.head_pending => {}
             Ok(()) => self.dispatch(now, Event::HeadWritten(leg), &[]),
             Err(_) => self.dispatch(now, Event::Closed(Endpoint::Server(leg), CloseKind::Abortive), &[]),
         }
--- a/crates/dewhead-proxy/src/event_loop/accept.rs
+++ b/crates/dewhead-proxy/src/event_loop/accept.rs
@@ -10,15 +10,15 @@
 const MAX_ACCEPTS_PER_ITERATION: usize = 32;
 /// Pause before accepting is tried again after a failure.
 pub(super) const ACCEPT_RETRY_SECONDS: f64 = 0.05;
-/// While accepting fails at the end of the process, it is tried this many times, with this pause in between. The
-/// process is killed 0.1 s later.
+/// While accepting fails at the end of the process, it is tried this many times, with this pause in between. A stopping
+/// process is killed 0.1 s after its latest exit time (see `reducer::shutdown`), so these attempts must take less.
 const FINAL_ACCEPT_ROUNDS: u32 = 10;
 const FINAL_ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
 impl EventLoop {
     /// Accepts the clients in the listen queue and reads from all clients. Closing the listener would reset clients
-    /// that connected in time and are not accepted yet. Accepting may fail for a moment. Once time is up, this is the
-    /// last chance to read and answer what connected clients have sent.
+    /// that connected in time and are not accepted yet. Accepting may fail temporarily. At the latest exit time, this is
+    /// the last opportunity to read and answer what connected clients have sent.
     pub(super) fn accept_remaining(&mut self, now: f64) {
         for _ in 0..FINAL_ACCEPT_ROUNDS {
             while self.accept(now) {}
@@ -64,7 +64,7 @@
     }
 
     /// Stores the client connection accepted last in the slot that the reducer assigned.
-    pub(super) fn admit(&mut self, now: f64, slot: usize) {
+    pub(super) fn store_accepted(&mut self, now: f64, slot: usize) {
         match self.accepted_socket.take() {
             Some(socket) => self.register(Endpoint::Client(slot), socket, false),
             None => self.dispatch(now, Event::Closed(Endpoint::Client(slot), CloseKind::Abortive), &[]),
--- a/crates/dewhead-proxy/src/event_loop/control.rs
+++ b/crates/dewhead-proxy/src/event_loop/control.rs
@@ -10,7 +10,7 @@
 use std::io;
 use std::os::fd::AsFd;
 
-/// Fault for a request that the stage does not allow.
+/// The error text for a request that the stage does not allow.
 fn not_possible_in(stage: Stage) -> String {
     format!("not possible while the process is {}", stage.name())
 }
@@ -105,7 +105,8 @@
         Ok(())
     }
 
-    /// The successor serves: closes the listening socket and moves the clients away over this time in seconds.
+    /// Retires this process, as the successor serves: closes the listening socket and moves the clients away over this time
+    /// in seconds.
     fn retire(&mut self, now: f64, slot: usize, seconds: Option<f64>) -> Result<serde_json::Value, String> {
         if self.successor_state != SuccessorState::Offered(slot) {
             return Err("only the process that received the listening socket can take over".to_owned());
@@ -130,7 +131,7 @@
         Ok(serde_json::json!({"stage": self.stages.stage().name()}))
     }
 
-    /// The successor was asked to stop, so this process stops, too, within the same time.
+    /// Stops this process because its successor stops, within the same time.
     fn stop_with_successor(&mut self, now: f64, slot: usize) -> Result<serde_json::Value, String> {
         if self.successor_state != SuccessorState::TookOver(slot) {
             return Err("only the successor that has taken over can stop this process".to_owned());
@@ -173,7 +174,7 @@
                 info!(process = child.id(); "a successor is started");
                 self.started_successor = Some(child);
             }
-            // Handled by the caller, which knows the connection.
+            // Handled by the caller, as they depend on the connection.
             Request::TakeOver | Request::TakenOver(_) | Request::Stop => {}
         }
         let mut status = self.reducer.status(now);
--- a/crates/dewhead-proxy/src/event_loop/predecessor.rs
+++ b/crates/dewhead-proxy/src/event_loop/predecessor.rs
@@ -1,6 +1,6 @@
 //! Handling of the predecessor in the event loop, while it still moves its own clients away.
 //!
-//! A supervisor may know only this process. A stop signal is therefore passed on, and this process ends after its
+//! A supervisor may signal only this process. A stop signal is therefore passed on, and this process ends after its
 //! predecessor, as many supervisors kill the remaining processes of a service once its main process has ended.
 
 use super::{EventLoop, PREDECESSOR};
@@ -8,8 +8,9 @@
 use log::{info, warn};
 use std::os::unix::net::UnixStream;
 
-/// The predecessor is asked to stop a moment after this process and may take as long to stop, so this process waits
-/// this much longer. Otherwise, with clients that stay to the last, both end at the same time and either may be first.
+/// The predecessor receives its stop request a moment after this process and may take as long to stop, so this process
+/// waits this much longer. Otherwise, if clients stay connected until the end, both processes end at the same time, and
+/// either may be the first.
 const PREDECESSOR_MARGIN_SECONDS: f64 = 0.05;
 
 impl EventLoop {
@@ -17,7 +18,7 @@
     pub fn follow_predecessor(&mut self, stream: UnixStream) {
         match RetiringPredecessor::follow(stream, self.poll.registry(), PREDECESSOR) {
             Ok(predecessor) => self.predecessor = Some(predecessor),
-            // The predecessor ends by itself. Only a stop before that does not reach it.
+            // The predecessor ends by itself. Only a stop signal to this process before that does not reach it.
             Err(e) => warn!("the predecessor can't be watched: {e}"),
         }
     }
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Requests the predecessor to stop, as this process was asked to stop.
+    /// Sends the predecessor a stop request, as this process has received one.
     pub(super) fn stop_predecessor(&mut self, now: f64) {
         self.predecessor_deadline = Some(now + self.reducer.max_stop_duration() + PREDECESSOR_MARGIN_SECONDS);
         if let Some(predecessor) = &mut self.predecessor {
--- a/crates/dewhead-proxy/src/guard.rs
+++ b/crates/dewhead-proxy/src/guard.rs
@@ -13,7 +13,7 @@
 /// An invariant that was about to be violated.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Violation {
-    /// A request was to be sent whose client no longer waits for it.
+    /// A request was to be sent whose client no longer waits for the answer.
     SentWithoutClient,
     /// A request was to be sent after its deadline.
     SentAfterDeadline,
@@ -94,11 +94,11 @@
 /// The facts before an attempt.
 pub struct RepeatFacts {
     /// What executing the request twice does.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// How long servers recognise a repeat, in seconds.
     pub repeat_window: f64,
     /// How many attempts are open.
-    pub attempts_out: usize,
+    pub open_attempts: usize,
     /// Whether two attempts may be open at the same time.
     pub two_at_once: bool,
     /// The first attempt that may have been executed.
@@ -168,7 +168,7 @@
     /// The invariant that it would violate; it must not be made.
     pub fn may_repeat(&mut self, facts: &RepeatFacts, subject: &dyn fmt::Display) -> Result<(), Violation> {
         let overlaps =
-            facts.attempts_out > 0 && !(facts.two_at_once && facts.effect == Idempotency::Repeatable);
+            facts.open_attempts > 0 && !(facts.two_at_once && facts.idempotency == Idempotency::Repeatable);
         let unsafe_repeat = facts.may_have_run.is_some_and(|earlier| !facts.is_harmless_after(earlier));
         let found = match () {
             () if overlaps => Some(Violation::OverlappingAttempts),
@@ -205,19 +205,19 @@
 }
 
 impl RepeatFacts {
-    /// Whether the attempt would do no harm after the earlier one: the request is repeatable, or the server would recognise
+    /// Whether the attempt is harmless after the earlier one: the request is repeatable, or the server would recognise
     /// it as a repeat.
     fn is_harmless_after(&self, earlier: SentAttempt) -> bool {
-        match self.effect {
+        match self.idempotency {
             Idempotency::Repeatable => true,
             Idempotency::OnceOnly => false,
-            Idempotency::Referenced(group) => {
-                let in_group = match group {
+            Idempotency::Referenced(scope) => {
+                let in_scope = match scope {
                     RepeatScope::All => true,
                     RepeatScope::Zone => earlier.zone == self.target.zone,
                     RepeatScope::Cell => earlier.zone == self.target.zone && earlier.cell == self.target.cell,
                 };
-                in_group && self.target.at - earlier.at < self.repeat_window
+                in_scope && self.target.at - earlier.at < self.repeat_window
             }
         }
     }
--- a/crates/dewhead-proxy/src/guard/cold_start.rs
+++ b/crates/dewhead-proxy/src/guard/cold_start.rs
@@ -1,5 +1,5 @@
 //! The operators' limit for servers that have just started: how many requests all proxies together may send to one in any
-//! window. It is calculated from the settings, the server list and what this proxy's servers carry, independently of the
+//! window. It is calculated from the settings, the server list and the connections at this proxy's servers, independently of the
 //! decisions that it checks.
 
 use dewhead_startup::SlowStartSettings;
@@ -14,15 +14,15 @@
 /// The limit for this deployment.
 pub struct ColdStartLimit {
     settings: SlowStartSettings,
-    /// The most connections of this proxy that a unit of ready weight has carried in any location.
+    /// The most connections of this proxy per unit of ready weight so far, in any zone.
     max_connections_per_weight: f64,
-    /// The most weight that was ready at the same time, over all locations.
+    /// The most weight that was ready at the same time, over all zones.
     max_ready_weight: f64,
 }
 
-/// What this proxy holds at the servers of one location.
+/// This proxy's connections at the servers of one zone, and the weight of those servers.
 #[derive(Clone, Copy, Debug)]
-pub struct LocationLoad {
+pub struct ZoneLoad {
     /// Open connections to its servers.
     pub connections: usize,
     /// The sum of the weights of its ready servers.
@@ -45,13 +45,13 @@
         age < self.settings.warm_after
     }
 
-    /// Records what the servers of each location carry now.
-    pub fn observe(&mut self, locations: &[LocationLoad]) {
-        let ready_weight: f64 = locations.iter().map(|location| location.ready_weight).sum();
+    /// Records the present load of each zone.
+    pub fn observe(&mut self, zone_loads: &[ZoneLoad]) {
+        let ready_weight: f64 = zone_loads.iter().map(|zone| zone.ready_weight).sum();
         self.max_ready_weight = self.max_ready_weight.max(ready_weight);
-        for location in locations.iter().filter(|location| location.ready_weight > 0.0) {
+        for zone in zone_loads.iter().filter(|zone| zone.ready_weight > 0.0) {
             self.max_connections_per_weight =
-                self.max_connections_per_weight.max(location.connections as f64 / location.ready_weight);
+                self.max_connections_per_weight.max(zone.connections as f64 / zone.ready_weight);
         }
     }
 
@@ -62,7 +62,7 @@
             settings.cold_share + (1.0 - settings.cold_share) * (age / settings.warm_after).clamp(0.0, 1.0);
         let quota_per_weight =
             if self.max_ready_weight > 0.0 { settings.total_quota / self.max_ready_weight } else { 0.0 };
-        // The connections that fill a warm server of this size, taken as what others of its size carry.
+        // The connections that fill a warm server of this size, estimated from what others of its size carry.
         let full_connections =
             weight * quota_per_weight.max(self.max_connections_per_weight * settings.proxies);
         let allowed = settings.max_capacity_multiple * settings.window * capacity_share * full_connections
--- a/crates/dewhead-proxy/src/lifecycle/notify.rs
+++ b/crates/dewhead-proxy/src/lifecycle/notify.rs
@@ -21,14 +21,14 @@
     Watchdog,
 }
 
-/// Sends notifications, including the periodic watchdog notification if the service manager asks for it.
+/// Sends notifications, including the periodic watchdog notification if the service manager requests it.
 pub struct Notifier {
     enabled: bool,
-    /// Time between watchdog notifications, in seconds; none if the service manager asks for none.
+    /// Time between watchdog notifications, in seconds; none if the service manager requests none.
     watchdog_interval: Option<f64>,
     /// When the next watchdog notification is due, by the clock of the event loop.
     next_watchdog: f64,
-    /// A failure to send has been logged.
+    /// Whether a failure to send has been logged.
     failure_logged: bool,
 }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// When the next watchdog notification is due; none if the service manager asks for none.
+    /// When the next watchdog notification is due; none if the service manager requests none.
     pub fn watchdog_due(&self) -> Option<f64> {
         self.watchdog_interval.map(|_| self.next_watchdog)
     }
--- a/crates/dewhead-proxy/src/lifecycle/stages.rs
+++ b/crates/dewhead-proxy/src/lifecycle/stages.rs
@@ -15,11 +15,12 @@
     Ready,
     /// The configuration is being read again.
     Reloading,
-    /// Moves its clients to other proxies and accepts no new ones from fronts. `UndrainRequested` reverts it.
+    /// Moves its clients to other proxies and leaves `PING` unanswered, so that front-end load balancers send no new ones.
+    /// `UndrainRequested` reverts it.
     Draining,
     /// A successor has taken over. The process ends once its own clients have left, or when their time is up.
     Retiring,
-    /// Asked to stop. The process ends once all connections are closed, or when the time for that is up.
+    /// A stop was requested. The process ends once all connections are closed, or when the time for that is up.
     Stopping,
     /// The event loop has ended.
     Stopped,
--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -36,10 +36,12 @@
 use std::rc::Rc;
 use watch::Watch;
 
-/// One of a session's connections: its client's, by the session's slot, or a leg's, by the leg's slot.
+/// One of a session's connections.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Endpoint {
+    /// A client's connection, by the session's slot.
     Client(usize),
+    /// A connection to a server, by the leg's slot.
     Server(usize),
 }
 
@@ -58,7 +60,7 @@
     ConnectFailed(usize),
     /// The leg's connection attempt could not be started because this machine lacked a resource.
     ConnectNotStarted(usize),
-    /// The last byte of the leg's request head is written.
+    /// The last byte of the first line is written to the leg.
     HeadWritten(usize),
     /// The connection to discovery is established.
     WatchOpened,
@@ -70,7 +72,7 @@
     Tick,
     /// Stop gracefully.
     Stop,
-    /// Move all clients away over this many seconds and answer no `PING` of a front, but keep running.
+    /// Move all clients away over this many seconds and leave `PING` unanswered, but keep running.
     Drain(f64),
     /// Cancel the drain and serve again.
     Undrain,
@@ -96,9 +98,17 @@
     AssignSession(usize),
     /// Connect the leg to this address.
     Connect(usize, SocketAddr),
-    /// Write the session's first line to the leg, with `timeout_ms` in place of the bytes in `timeout_range`, which hold
-    /// the client's waiting time.
-    SendHead { leg: usize, session: usize, timeout_range: Range<usize>, timeout_ms: u64 },
+    /// Write the session's first line to the leg, with `timeout_ms` in place of the bytes in `timeout_range`.
+    SendHead {
+        /// The leg's slot.
+        leg: usize,
+        /// The session's slot.
+        session: usize,
+        /// Where the client's waiting time is in the first line; empty to send the line unchanged.
+        timeout_range: Range<usize>,
+        /// The time left for the server's answer, in milliseconds.
+        timeout_ms: u64,
+    },
     /// Write this range of the event's bytes to the endpoint.
     Forward(Endpoint, Range<usize>),
     /// Write these bytes to the endpoint.
@@ -113,7 +123,7 @@
     OpenWatch(SocketAddr, u64),
     /// Close the connection to discovery.
     CloseWatch,
-    /// No known client is owed anything any more; clients in the listener's queue may still be.
+    /// End the process, after the clients that are still in the listener's queue are served.
     Exit,
 }
 
@@ -127,7 +137,7 @@
     /// Moves the session's client away during a drain or a stop.
     MoveClient(usize),
     Watch,
-    /// Discovery has had its time to send the list after the start.
+    /// The time for discovery to send its list after the start is over.
     ConfirmationTimeout,
     /// Checks for descriptors to free while none is left to accept with.
     FreeDescriptors,
@@ -151,22 +161,23 @@
 /// Further descriptors that are kept for clients that can only be rejected for lack of descriptors.
 const REJECTION_DESCRIPTORS: usize = 16;
 /// Clients keep arriving for this many seconds after a stop was requested.
-const ARRIVALS_AFTER_STOP_S: f64 = 0.45;
+const ARRIVALS_AFTER_STOP_SECONDS: f64 = 0.45;
 /// Indices into a server's message delays: those estimated from lines and from set-ups.
 const LINE_DELAY: usize = 0;
-const SETUP_DELAY: usize = 1;
+const SET_UP_DELAY: usize = 1;
 /// Minimum interval between two reports of a server's message delay to the balancer, in seconds.
-const DELAY_REPORT_INTERVAL_S: f64 = 1.0;
+const DELAY_REPORT_INTERVAL_SECONDS: f64 = 1.0;
 /// A connection on which no line has answered the client's for this many seconds is treated as lost: a working server
-/// answers at once, and a line delayed for longer counts as lost itself. With the clients' waiting time as the limit,
+/// answers at once, and a line delayed for longer is treated as lost as well. With the clients' waiting time as the limit,
 /// connections into a failed zone stayed idle for all of that time.
-const MAX_REPLY_SILENCE_S: f64 = 1.0;
+const MAX_REPLY_SILENCE_SECONDS: f64 = 1.0;
 /// A line that a server has begun is completed within this many seconds, or never.
-const LINE_COMPLETION_TIMEOUT_S: f64 = 0.9;
+const LINE_COMPLETION_TIMEOUT_SECONDS: f64 = 0.9;
 /// At the start, first lines are not processed until discovery has sent its list, but for no longer than this fraction of
 /// the longest guard time: the local agent either answers at once or not at all.
 const CONFIRMATION_TIMEOUT_SHARE: f64 = 1.0 / 16.0;
-/// A measured duration says nothing about a server if the iteration it ends in was late by more than this fraction of it.
+/// A measured duration is not attributed to a server if the iteration in which it ends was late by more than this
+/// fraction of the duration.
 const MAX_OWN_DELAY_SHARE: f64 = 0.1;
 /// Low bits of a call's id that hold the session's slot; the others hold its serial number.
 const SLOT_BITS: u32 = 24;
@@ -175,7 +186,7 @@
 pub struct Reducer {
     balancer: Rc<Balancer>,
     requests: Rc<RequestQueue>,
-    known_names: KnownNames,
+    names: KnownNames,
     groups_enabled: bool,
     connect_timeout: f64,
     longest_guard_time: f64,
@@ -183,10 +194,10 @@
     /// Messages that take longer than this are reported to the balancer, in seconds.
     slow_message_threshold: f64,
     /// The message delay that is assumed where set-ups take twice as long as their own variation explains, in seconds.
-    slow_setup_unit: f64,
-    setup_baselines: TypeMeans,
+    slow_set_up_unit: f64,
+    type_means: TypeMeans,
     sessions: Slab<Session>,
-    /// Ids that clients gave their open requests; an entry is removed with the session's final answer.
+    /// Ids that clients gave their open requests; an entry is removed when the session begins closing.
     open_request_ids: BTreeSet<u64>,
     /// Sessions that only wait for their client, in the order in which they began to, with their slot and that time. An
     /// entry is removed when its session is active again or its slot is freed.
@@ -194,8 +205,8 @@
     legs: Slab<ServerLeg>,
     servers: Servers,
     traffic_types: Vec<TrafficType>,
-    /// Whether a call may have two attempts out at the same time.
-    parallel_attempts: bool,
+    /// Whether a repeatable call may have two attempts open at the same time.
+    two_at_once: bool,
     guard: Guard,
     cold_start: ColdStartLimit,
     weights_are_sizes: bool,
@@ -227,42 +238,42 @@
 }
 
 impl Reducer {
-    /// Creates the state at process start. `remembered` is the list of an earlier process, or null.
+    /// Creates the state at process start. `last_known_list` is the list of an earlier process, or null.
     pub fn new(
         now: f64,
         startup: Startup,
         seed: u128,
         discovery: SocketAddr,
         descriptor_limit: usize,
-        remembered: &Value,
+        last_known_list: &Value,
     ) -> Reducer {
         let requests = Rc::new(RequestQueue::default());
-        let (groups_enabled, must_ask) = (startup.groups, startup.must_subscribe);
+        let (groups_enabled, must_subscribe) = (startup.groups, startup.must_subscribe);
         let (connect_timeout, longest_guard_time) = (startup.connect_timeout, startup.longest_guard_time);
         let slow_message_threshold = startup.shortest_message_target / 3.0;
-        let slow_setup_unit = longest_guard_time / 30.0;
-        let setup_baselines = TypeMeans::new(startup.names.traffic_types.len());
-        let (traffic_types, parallel_attempts) = (startup.traffic_types().to_vec(), startup.two_at_once());
+        let slow_set_up_unit = longest_guard_time / 30.0;
+        let type_means = TypeMeans::new(startup.names.traffic_types.len());
+        let (traffic_types, two_at_once) = (startup.traffic_types().to_vec(), startup.two_at_once());
         let slow_start = startup.slow_start();
-        let (balancer, known_names) = startup.into_balancer(seed, requests.clone());
+        let (balancer, names) = startup.into_balancer(seed, requests.clone());
         let mut reducer = Reducer {
             balancer,
             requests,
-            known_names,
+            names,
             groups_enabled,
             connect_timeout,
             longest_guard_time,
             started_at: now,
             slow_message_threshold,
-            slow_setup_unit,
-            setup_baselines,
+            slow_set_up_unit,
+            type_means,
             sessions: Slab::new(),
             open_request_ids: BTreeSet::new(),
             idle_sessions: BTreeMap::new(),
             legs: Slab::new(),
             servers: Servers::default(),
             traffic_types,
-            parallel_attempts,
+            two_at_once,
             guard: Guard::default(),
             weights_are_sizes: slow_start.weights_are_sizes,
             cold_start: ColdStartLimit::new(slow_start),
@@ -285,37 +296,37 @@
             effects: Vec::new(),
         };
         reducer.balancer.start(now);
-        if !remembered.is_null() {
-            let version = ListVersion::from_json(remembered, &reducer.known_names.zones);
+        if !last_known_list.is_null() {
+            let version = ListVersion::from_json(last_known_list, &reducer.names.zones);
             reducer.apply_list(now, version, true);
             reducer.list_unconfirmed = reducer.has_server_list();
             reducer
                 .timers
                 .set(now + CONFIRMATION_TIMEOUT_SHARE * longest_guard_time, TimerKind::ConfirmationTimeout);
         }
-        if !must_ask {
+        if !must_subscribe {
             reducer.open_watch(now);
         }
         reducer.process_balancer_requests(now);
         reducer
     }
 
-    /// When the next timer falls due.
+    /// When the next timer is due, in seconds.
     pub fn next_due(&self) -> Option<f64> {
         self.timers.next()
     }
 
     /// Sets the times of the iteration that begins now: it delivers everything that arrived until `polled_at`, and
     /// starts `delay` seconds late. Timers are compared with `polled_at` and not with the clock read after the poll: a
-    /// process suspended between the two would take input that it had not looked for yet for missing.
+    /// process suspended between the two would treat input that it has not polled for yet as missing.
     pub fn set_poll_times(&mut self, polled_at: f64, delay: f64) {
         (self.polled_at, self.iteration_delay) = (polled_at, delay);
     }
 
-    /// Records by how many seconds the wall clock is ahead of the process's clock: the sum of the wall clock's steps
+    /// Records `offset`, by how many seconds the wall clock is ahead of the process's clock: the sum of the wall clock's steps
     /// since the start.
-    pub fn observe_wall_clock(&mut self, ahead: f64) {
-        if let Some(step) = self.wall_clock.observe(ahead) {
+    pub fn observe_wall_clock(&mut self, offset: f64) {
+        if let Some(step) = self.wall_clock.observe(offset) {
             warn!("the wall clock was stepped by {step:.3} s");
         }
     }
@@ -375,17 +386,17 @@
             Event::ConnectFailed(leg) => self.handle_connect_failed(now, leg),
             Event::ConnectNotStarted(leg) => self.postpone_connect(now, leg),
             Event::HeadWritten(leg) => {
-                if let Some(out) = self.legs.get_mut(leg).filter(|l| l.stage == LegStage::Connecting) {
-                    out.stage = LegStage::AwaitingAnswer;
-                    out.head_sent_at = now;
-                    let fresh = self.timers.set(out.answer_by, TimerKind::Leg(leg));
-                    if let Some(old) = out.timer.replace(fresh) {
+                if let Some(server_leg) = self.legs.get_mut(leg).filter(|l| l.stage == LegStage::Connecting) {
+                    server_leg.stage = LegStage::AwaitingAnswer;
+                    server_leg.head_sent_at = now;
+                    let new_timer = self.timers.set(server_leg.answer_by, TimerKind::Leg(leg));
+                    if let Some(old) = server_leg.timer.replace(new_timer) {
                         self.timers.cancel(old);
                     }
                 }
             }
             Event::WatchOpened => {
-                self.watch.answer = Some(WatchResponse::default());
+                self.watch.response = Some(WatchResponse::default());
             }
             Event::WatchBytes(bytes) => self.handle_watch_bytes(now, bytes),
             Event::WatchLost => self.handle_watch_lost(now),
@@ -424,7 +435,7 @@
             let next = self.requests.pending.borrow_mut().pop_front();
             let Some(request) = next else { return };
             match request {
-                BalancerRequest::Send(call, server, timeout) => {
+                BalancerRequest::SendLeg(call, server, timeout) => {
                     if let Some(key) = self.find_session(call) {
                         self.send_attempt(now, key, server, timeout);
                     }
@@ -439,13 +450,13 @@
                         self.send_final_answer(now, key, answers::ERR.to_vec(), AnswerReason::Released);
                     }
                 }
-                BalancerRequest::RecordRefusal(call, reason) => {
+                BalancerRequest::NoteRefusal(call, reason) => {
                     self.counters.refusals.count(reason.name());
                     if let Some(key) = self.find_session(call) {
                         debug!("{}: no further attempt: {reason}", self.sessions[key].log_id());
                     }
                 }
-                BalancerRequest::Withdraw(call, number) => {
+                BalancerRequest::CancelLeg(call, number) => {
                     let legs = self.find_session(call).map(|key| &self.sessions[key].legs);
                     let leg =
                         legs.and_then(|l| l.iter().find(|(n, _)| *n == number as usize)).map(|(_, l)| *l);
@@ -461,30 +472,30 @@
                 }
                 BalancerRequest::SetCallTimer(call, at) => {
                     if let Some(key) = self.find_session(call) {
-                        let fresh = self.timers.set(at, TimerKind::Call(key));
-                        self.replace_wake_timer(key, Some(fresh));
+                        let new_timer = self.timers.set(at, TimerKind::Call(key));
+                        self.replace_wake_timer(key, Some(new_timer));
                     }
                 }
                 BalancerRequest::SetBalancerTimer(at) => {
                     self.timers.set(at, TimerKind::Balancer);
                 }
-                BalancerRequest::FollowList => self.open_watch(now),
+                BalancerRequest::SubscribeToList => self.open_watch(now),
                 BalancerRequest::LogMessage(text) => info!("{text}"),
             }
         }
     }
 
     /// Replaces the session's wake timer, which serves its call, or its move during a drain.
-    fn replace_wake_timer(&mut self, key: usize, fresh: Option<Timer>) {
-        if let Some(old) = std::mem::replace(&mut self.sessions[key].wake_timer, fresh) {
+    fn replace_wake_timer(&mut self, key: usize, new_timer: Option<Timer>) {
+        if let Some(old) = std::mem::replace(&mut self.sessions[key].wake_timer, new_timer) {
             self.timers.cancel(old);
         }
     }
 
     /// Replaces the timer that limits the session's present stage.
     fn replace_stage_timer(&mut self, key: usize, at: Option<f64>) {
-        let fresh = at.map(|at| self.timers.set(at, TimerKind::Session(key)));
-        if let Some(old) = std::mem::replace(&mut self.sessions[key].timer, fresh) {
+        let new_timer = at.map(|at| self.timers.set(at, TimerKind::Session(key)));
+        if let Some(old) = std::mem::replace(&mut self.sessions[key].timer, new_timer) {
             self.timers.cancel(old);
         }
     }
@@ -501,13 +512,13 @@
             }
             TimerKind::Leg(leg) if self.legs[leg].stage == LegStage::Queued => self.retry_connect(now, leg),
             TimerKind::Leg(leg) => {
-                let out = &mut self.legs[leg];
-                out.timer = None;
-                let ending = match out.stage {
+                let server_leg = &mut self.legs[leg];
+                server_leg.timer = None;
+                let outcome = match server_leg.stage {
                     LegStage::Connecting => LegOutcome::Unreachable,
                     _ => LegOutcome::TimedOut,
                 };
-                self.fail_leg(now, leg, ending);
+                self.fail_leg(now, leg, outcome);
             }
             TimerKind::Session(key) => {
                 self.sessions[key].timer = None;
--- a/crates/dewhead-proxy/src/reducer/balancer_requests.rs
+++ b/crates/dewhead-proxy/src/reducer/balancer_requests.rs
@@ -8,24 +8,24 @@
 
 /// One call of the balancer's host interface, with its arguments.
 pub enum BalancerRequest {
-    /// Start an attempt: call, server, and time-out in seconds.
-    Send(u64, u64, f64),
+    /// Start a leg: call, server, and time-out in seconds.
+    SendLeg(u64, u64, f64),
     /// Reject a call, with the seconds after which its client may try again.
     Reject(u64, Option<f64>),
-    /// Release a call, with no promise about its effect.
+    /// Release a call, which leaves open whether it has run.
     Release(u64),
     /// Count the reason why a call gets no further attempt.
-    RecordRefusal(u64, Refusal),
-    /// Withdraw one leg of a call, by its number in the call.
-    Withdraw(u64, u32),
+    NoteRefusal(u64, Refusal),
+    /// Cancel one leg of a call, by its number in the call.
+    CancelLeg(u64, u32),
     /// Move the client of an established call away.
     Relocate(u64),
     /// Set a call's timer.
     SetCallTimer(u64, f64),
-    /// Set a timer of the balancer's own.
+    /// Set the balancer's timer.
     SetBalancerTimer(f64),
-    /// Follow the list of servers.
-    FollowList,
+    /// Subscribe to the list of servers.
+    SubscribeToList,
     /// Log a message for the operators.
     LogMessage(String),
 }
@@ -33,6 +33,7 @@
 /// The host interface that the balancer is given: a queue in the order of the calls.
 #[derive(Default)]
 pub struct RequestQueue {
+    /// The requests that are not carried out yet.
     pub pending: RefCell<VecDeque<BalancerRequest>>,
 }
 
@@ -44,7 +45,7 @@
 
 impl BalancerHost for RequestQueue {
     fn send_leg(&self, call: u64, server: u64, timeout: f64) {
-        self.enqueue(BalancerRequest::Send(call, server, timeout));
+        self.enqueue(BalancerRequest::SendLeg(call, server, timeout));
     }
     fn reject(&self, call: u64, retry_after: Option<f64>) {
         self.enqueue(BalancerRequest::Reject(call, retry_after));
@@ -53,10 +54,10 @@
         self.enqueue(BalancerRequest::Release(call));
     }
     fn note_refusal(&self, call: u64, reason: Refusal) {
-        self.enqueue(BalancerRequest::RecordRefusal(call, reason));
+        self.enqueue(BalancerRequest::NoteRefusal(call, reason));
     }
     fn cancel_leg(&self, call: u64, leg: u32) {
-        self.enqueue(BalancerRequest::Withdraw(call, leg));
+        self.enqueue(BalancerRequest::CancelLeg(call, leg));
     }
     fn relocate(&self, call: u64) {
         self.enqueue(BalancerRequest::Relocate(call));
@@ -68,7 +69,7 @@
         self.enqueue(BalancerRequest::SetBalancerTimer(at));
     }
     fn subscribe_to_list(&self) {
-        self.enqueue(BalancerRequest::FollowList);
+        self.enqueue(BalancerRequest::SubscribeToList);
     }
     // The protocol of servers on sockets has no message for a probe.
     fn probe(&self, _: u64) -> bool {
--- a/crates/dewhead-proxy/src/reducer/clients.rs
+++ b/crates/dewhead-proxy/src/reducer/clients.rs
@@ -2,7 +2,8 @@
 //! session's slot is freed.
 
 use super::{
-    CloseKind, Effect, Endpoint, Reducer, TimerKind, MAX_REPLY_SILENCE_S, REJECTION_DESCRIPTORS, SLOT_BITS,
+    CloseKind, Effect, Endpoint, Reducer, TimerKind, MAX_REPLY_SILENCE_SECONDS, REJECTION_DESCRIPTORS,
+    SLOT_BITS,
 };
 use crate::guard::PendingReply;
 use crate::state::counters::{AnswerReason, CloseReason};
@@ -16,16 +17,17 @@
 
 /// Time for a client's first `OPEN` line, in seconds, whatever it sends before: less than the three seconds within
 /// which a client that sends none must be closed.
-const FIRST_LINE_TIMEOUT_S: f64 = 2.5;
-/// A client that names the server it was established at is restored there within this many seconds, or given up.
-const RESTORE_TIMEOUT_S: f64 = 40.0;
+const FIRST_LINE_TIMEOUT_SECONDS: f64 = 2.5;
+/// A client that names the server it was established at must be restored there within this many seconds, or gets an
+/// error.
+const RESTORE_TIMEOUT_SECONDS: f64 = 40.0;
 /// Most `PING` lines that are answered on one connection.
 const MAX_PINGS: u32 = 4;
 /// Idle sessions are closed once fewer than one in this many descriptors is free.
 const MIN_FREE_DIVISOR: usize = 8;
 /// No session is closed for its descriptor before it has been idle for this many seconds, in which its client can send
 /// its first line, or read its final answer.
-const MIN_IDLE_S: f64 = 0.1;
+const MIN_IDLE_SECONDS: f64 = 0.1;
 
 impl Reducer {
     /// Creates the session of a client that has just connected.
@@ -41,7 +43,7 @@
             pings: 0,
             first_line: Vec::new(),
             wait_range: 0..0,
-            traffic: 0,
+            traffic_type: 0,
             call: None,
             legs: Vec::new(),
             legs_sent: 0,
@@ -57,7 +59,7 @@
             restoring: None,
         });
         self.effects.push(Effect::AssignSession(key));
-        self.replace_stage_timer(key, Some(now + FIRST_LINE_TIMEOUT_S));
+        self.replace_stage_timer(key, Some(now + FIRST_LINE_TIMEOUT_SECONDS));
         self.mark_idle(now, key);
         self.descriptors.used += 1;
         self.free_descriptors(now);
@@ -87,7 +89,7 @@
             < self.descriptors.limit / MIN_FREE_DIVISOR
         {
             match self.idle_sessions.first_key_value() {
-                Some((_, &(key, since))) if now - since >= MIN_IDLE_S => {
+                Some((_, &(key, since))) if now - since >= MIN_IDLE_SECONDS => {
                     self.close_session(now, key, CloseKind::Graceful, CloseReason::Evicted)
                 }
                 _ => return,
@@ -110,7 +112,7 @@
     /// While no client is accepted, a timer has to free descriptors, as no new client does.
     pub(super) fn schedule_descriptor_check(&mut self, now: f64) {
         if !self.descriptors.accepting {
-            self.timers.set(now + MIN_IDLE_S, TimerKind::FreeDescriptors);
+            self.timers.set(now + MIN_IDLE_SECONDS, TimerKind::FreeDescriptors);
         }
     }
 
@@ -146,7 +148,7 @@
                     self.effects.push(Effect::Forward(Endpoint::Server(leg), 0..bytes.len()));
                 }
                 if starts_timer {
-                    self.replace_stage_timer(key, Some(now + MAX_REPLY_SILENCE_S));
+                    self.replace_stage_timer(key, Some(now + MAX_REPLY_SILENCE_SECONDS));
                 }
             }
             SessionStage::Closing => {}
@@ -157,7 +159,7 @@
     pub(super) fn process_first_line(&mut self, now: f64, key: usize) {
         if self.list_unconfirmed {
             if matches!(first_line_end(&self.sessions[key].first_line), Ok(Some(_))) {
-                // The client waits for an answer now, so its session must not be closed as an idle one.
+                // The client waits for an answer now, so its session must not be closed as idle.
                 self.clear_idle(key);
             }
             return;
@@ -172,7 +174,7 @@
             &session.first_line[..end],
             now,
             self.longest_guard_time,
-            &self.known_names,
+            &self.names,
             self.groups_enabled,
         ) {
             // A client that keeps sending `PING` must not be answered without limit.
@@ -194,18 +196,18 @@
                     self.mark_idle(now, key);
                 }
             }
-            // An id of another client's open request is rejected: a server would take it for a repeat of that request.
-            Ok(FirstLine::Open { id, wanted, wait_range, server_range })
+            // An id of another client's open request is rejected: a server would treat it as a repeat of that request.
+            Ok(FirstLine::Open { id, request, wait_range, server_range })
                 if end == session.first_line.len() && !self.open_request_ids.contains(&id) =>
             {
                 self.open_request_ids.insert(id);
                 session.request_id = Some(id);
-                if let Some(group) = wanted.group {
+                if let Some(group) = request.group {
                     debug!("{}: in group {group:x}", session.log_id());
                 }
                 session.wait_range = wait_range;
-                session.traffic = wanted.traffic_type;
-                let (id, until) = (session.id, wanted.deadline);
+                session.traffic_type = request.traffic_type;
+                let (id, until) = (session.id, request.deadline);
                 debug!(
                     "{}: request received: {}",
                     session.log_id(),
@@ -217,11 +219,12 @@
                 {
                     Some(server) => {
                         session.stage = SessionStage::Restoring;
-                        // With an unknown server, attempts would otherwise last as long as the client says it waits.
+                        // With an unknown server, attempts would otherwise be made for the client's whole waiting time.
                         let known = self.servers.0.contains_key(&server);
-                        let until =
-                            until.min(now + if known { RESTORE_TIMEOUT_S } else { FIRST_LINE_TIMEOUT_S });
-                        session.restoring = Some((server, CallRequest { deadline: until, ..wanted }));
+                        let until = until.min(
+                            now + if known { RESTORE_TIMEOUT_SECONDS } else { FIRST_LINE_TIMEOUT_SECONDS },
+                        );
+                        session.restoring = Some((server, CallRequest { deadline: until, ..request }));
                         self.replace_stage_timer(key, None);
                         self.limit_wait(now, key);
                         let until = self.answer_deadline.map_or(until, |deadline| deadline.min(until));
@@ -232,9 +235,9 @@
                         self.replace_stage_timer(key, None);
                         let until = self
                             .answer_deadline
-                            .map_or(wanted.deadline, |deadline| deadline.min(wanted.deadline));
+                            .map_or(request.deadline, |deadline| deadline.min(request.deadline));
                         let call =
-                            self.balancer.accept_call(now, id, CallRequest { deadline: until, ..wanted });
+                            self.balancer.accept_call(now, id, CallRequest { deadline: until, ..request });
                         self.sessions[key].call = Some(call);
                     }
                 }
@@ -252,7 +255,7 @@
         self.send_final_answer(now, key, answers::ERR.to_vec(), AnswerReason::InvalidFirstLine);
     }
 
-    /// The client closed its connection, or the connection failed.
+    /// Handles a client connection that the client closed or that failed.
     pub(super) fn handle_client_closed(&mut self, now: f64, key: usize, kind: CloseKind) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         match session.stage {
@@ -298,7 +301,7 @@
         self.effects.push(Effect::ShutdownWrite(Endpoint::Client(key)));
     }
 
-    /// Begins closing the session: from here on only bytes already under way are still delivered.
+    /// Begins closing the session: from here on only bytes that were already received or queued are delivered.
     pub(super) fn begin_closing(&mut self, now: f64, key: usize) {
         self.mark_idle(now, key);
         let session = &mut self.sessions[key];
@@ -312,8 +315,8 @@
         self.replace_stage_timer(key, Some(now + self.longest_guard_time.max(1.0)));
     }
 
-    /// What the client would still be owed if the session were closed for this reason.
-    pub(super) fn obligation_on_close(&self, key: usize, reason: CloseReason) -> PendingReply {
+    /// What the client must still be sent before the session may be closed for this reason.
+    pub(super) fn pending_reply_on_close(&self, key: usize, reason: CloseReason) -> PendingReply {
         let session = &self.sessions[key];
         let has_request = matches!(first_line_end(&session.first_line), Ok(Some(_)));
         match (session.stage, reason) {
@@ -332,8 +335,8 @@
 
     /// Closes the session's remaining connections and frees its slot.
     pub(super) fn close_session(&mut self, now: f64, key: usize, kind: CloseKind, reason: CloseReason) {
-        let obligation = self.obligation_on_close(key, reason);
-        self.guard.check_close(obligation, &self.sessions[key].log_id());
+        let pending_reply = self.pending_reply_on_close(key, reason);
+        self.guard.check_close(pending_reply, &self.sessions[key].log_id());
         debug!("{}: closed, {reason}", self.sessions[key].log_id());
         self.counters.closes.count(reason.name());
         self.end_legs(now, key, kind);
--- a/crates/dewhead-proxy/src/reducer/handover.rs
+++ b/crates/dewhead-proxy/src/reducer/handover.rs
@@ -14,28 +14,29 @@
     /// Exports the list and what was learned of the servers, with its age.
     pub fn export_state(&self, now: f64) -> Value {
         let list = self.watch.entries.to_list(self.watch.version);
-        let setup_times = self.servers.0.iter().map(|(id, server)| (*id, &server.set_up_latency));
-        handover_state::encode(now, list, &self.balancer.snapshot(now), setup_times, &self.setup_baselines)
+        let set_up_latencies = self.servers.0.iter().map(|(id, server)| (*id, &server.set_up_latency));
+        handover_state::encode(now, list, &self.balancer.snapshot(now), set_up_latencies, &self.type_means)
     }
 
     /// Imports what another process has learned of servers that are listed and have not restarted since.
-    pub fn import_state(&mut self, now: f64, handed: &HandoverState) {
-        let age = (now - handed.encoded_at).max(0.0);
+    pub fn import_state(&mut self, now: f64, state: &HandoverState) {
+        let age = (now - state.encoded_at).max(0.0);
         if age > MAX_STATE_AGE * self.longest_guard_time {
             return info!("handed-over state is ignored: it is {age:.0} s old");
         }
-        let recalled = self.balancer.restore(now, age, &handed.servers);
-        for (id, (recent, usual, samples, last_age)) in &handed.set_up_latencies {
+        let restored_count = self.balancer.restore(now, age, &state.servers);
+        for (id, (recent, typical, count, last_age)) in &state.set_up_latencies {
             if let Some(server) = self.servers.0.get_mut(id) {
                 server.set_up_latency =
-                    SetUpLatency::restore(now, (*recent, *usual, *samples, last_age + age));
+                    SetUpLatency::restore(now, (*recent, *typical, *count, last_age + age));
             }
         }
-        self.setup_baselines.restore(&handed.type_means);
-        info!("imported what was learned of {recalled} servers, {age:.1} s old");
+        self.type_means.restore(&state.type_means);
+        info!("imported what was learned of {restored_count} servers, {age:.1} s old");
     }
 
-    /// Another process serves from now on: moves all clients away over this many seconds, then exits.
+    /// Begins the retirement, as another process serves from now on: moves all clients away over this many seconds; then the
+    /// process exits.
     pub(super) fn begin_retirement(&mut self, now: f64, spread: f64) {
         if self.exits_when_empty {
             return;
--- a/crates/dewhead-proxy/src/reducer/legs.rs
+++ b/crates/dewhead-proxy/src/reducer/legs.rs
@@ -1,7 +1,7 @@
 //! Legs: connecting, sending the request, reading the server's answer, and ending.
 
-use super::{CloseKind, Effect, Endpoint, Reducer, TimerKind, REJECTION_DESCRIPTORS, SETUP_DELAY};
-use crate::guard::cold_start::LocationLoad;
+use super::{CloseKind, Effect, Endpoint, Reducer, TimerKind, REJECTION_DESCRIPTORS, SET_UP_DELAY};
+use crate::guard::cold_start::ZoneLoad;
 use crate::guard::{RepeatFacts, SendFacts, SentAttempt};
 use crate::state::counters::{AnswerReason, CloseReason};
 use crate::state::sessions::{LegStage, LogId, ServerLeg, SessionStage};
@@ -15,8 +15,8 @@
 const CONNECT_RETRIES: f64 = 20.0;
 
 /// The name of an ending in the counters.
-fn ending_name(ending: LegOutcome) -> &'static str {
-    match ending {
+fn outcome_name(outcome: LegOutcome) -> &'static str {
+    match outcome {
         LegOutcome::Served => "served",
         LegOutcome::Error => "error",
         LegOutcome::Full => "full",
@@ -46,15 +46,15 @@
     fn may_repeat(&mut self, now: f64, key: usize, server: u64) -> bool {
         let session = &self.sessions[key];
         let (Some(traffic_type), Some(target)) =
-            (self.traffic_types.get(session.traffic), self.servers.0.get(&server))
+            (self.traffic_types.get(session.traffic_type), self.servers.0.get(&server))
         else {
             return true;
         };
         let facts = RepeatFacts {
-            effect: traffic_type.idempotency,
+            idempotency: traffic_type.idempotency,
             repeat_window: traffic_type.repeat_window,
-            attempts_out: session.legs.len(),
-            two_at_once: self.parallel_attempts,
+            open_attempts: session.legs.len(),
+            two_at_once: self.two_at_once,
             may_have_run: session.may_have_run,
             target: SentAttempt { at: now, zone: target.zone, cell: target.cell },
         };
@@ -63,35 +63,35 @@
 
     /// Whether the guard allows the leg's request to be sent now.
     fn may_send(&mut self, now: f64, leg: usize) -> bool {
-        let out = &self.legs[leg];
-        let session = &self.sessions[out.session];
-        let returning = session.stage == SessionStage::Restoring;
-        let server = self.servers.0.get(&out.server);
+        let server_leg = &self.legs[leg];
+        let session = &self.sessions[server_leg.session];
+        let restoring = session.stage == SessionStage::Restoring;
+        let server = self.servers.0.get(&server_leg.server);
         let facts = SendFacts {
-            client_waiting: returning || session.stage == SessionStage::AwaitingServer,
-            before_deadline: now < out.answer_by,
-            server_ready: server.is_some_and(|s| returning || s.state == ServerState::Ready),
+            client_waiting: restoring || session.stage == SessionStage::AwaitingServer,
+            before_deadline: now < server_leg.answer_by,
+            server_ready: server.is_some_and(|s| restoring || s.state == ServerState::Ready),
         };
-        let request_id = session.log_id();
-        if self.guard.may_send(&facts, &request_id).is_err() {
+        let log_id = session.log_id();
+        if self.guard.may_send(&facts, &log_id).is_err() {
             return false;
         }
         // A restored connection was established there before, and is no new load.
-        if returning {
+        if restoring {
             return true;
         }
-        let server_id = out.server;
-        self.may_send_to_cold_server(now, server_id, &request_id)
+        let server_id = server_leg.server;
+        self.may_send_to_cold_server(now, server_id, &log_id)
     }
 
     /// Whether the slow-start limit allows a request to the server. Servers that are not cold have no such limit.
-    fn may_send_to_cold_server(&mut self, now: f64, server_id: u64, request_id: &LogId) -> bool {
+    fn may_send_to_cold_server(&mut self, now: f64, server_id: u64, log_id: &LogId) -> bool {
         let Some(server) = self.servers.0.get(&server_id) else { return true };
         let Some(age) = server.started.map(|at| now - at).filter(|age| self.cold_start.is_cold(*age)) else {
             return true;
         };
         let weight = if self.weights_are_sizes { server.weight } else { 1.0 };
-        let load = self.load_by_location();
+        let load = self.load_by_zone();
         self.cold_start.observe(&load);
         let limit = self.cold_start.max_requests(weight, age);
         let window = self.cold_start.window();
@@ -99,7 +99,7 @@
         while server.recent_sends.front().is_some_and(|at| *at <= now - window) {
             server.recent_sends.pop_front();
         }
-        let allowed = self.guard.may_send_in_slow_start(server.recent_sends.len(), limit, request_id).is_ok();
+        let allowed = self.guard.may_send_in_slow_start(server.recent_sends.len(), limit, log_id).is_ok();
         if allowed {
             server.recent_sends.push_back(now);
         }
@@ -107,21 +107,21 @@
     }
 
     /// For each location, the legs at its servers and the weight of its ready servers.
-    fn load_by_location(&self) -> Vec<LocationLoad> {
-        let mut locations =
-            vec![LocationLoad { connections: 0, ready_weight: 0.0 }; self.known_names.zones.len().max(1)];
+    fn load_by_zone(&self) -> Vec<ZoneLoad> {
+        let mut zone_loads =
+            vec![ZoneLoad { connections: 0, ready_weight: 0.0 }; self.names.zones.len().max(1)];
         for server in self.servers.0.values().filter(|server| server.state == ServerState::Ready) {
-            if let Some(location) = locations.get_mut(server.zone) {
-                location.ready_weight += if self.weights_are_sizes { server.weight } else { 1.0 };
+            if let Some(zone_load) = zone_loads.get_mut(server.zone) {
+                zone_load.ready_weight += if self.weights_are_sizes { server.weight } else { 1.0 };
             }
         }
         for (_, leg) in &self.legs {
             let zone = self.servers.0.get(&leg.server).map(|server| server.zone);
-            if let Some(location) = zone.and_then(|zone| locations.get_mut(zone)) {
-                location.connections += 1;
+            if let Some(zone_load) = zone.and_then(|zone| zone_loads.get_mut(zone)) {
+                zone_load.connections += 1;
             }
         }
-        locations
+        zone_loads
     }
 
     /// Starts a leg that restores a connection at the server it was established at.
@@ -142,8 +142,8 @@
         };
         let entry = self.legs.vacant_entry();
         let leg = entry.key();
-        let up_by = (now + self.connect_timeout).min(until);
-        let timer = self.timers.set(up_by, TimerKind::Leg(leg));
+        let connect_deadline = (now + self.connect_timeout).min(until);
+        let timer = self.timers.set(connect_deadline, TimerKind::Leg(leg));
         entry.insert(ServerLeg {
             session: key,
             number,
@@ -151,11 +151,11 @@
             address: to,
             stage: LegStage::Connecting,
             answer: Vec::new(),
-            connect_by: up_by,
+            connect_by: connect_deadline,
             answer_by: until,
             head_sent_at: now,
             timer: Some(timer),
-            announced_ending: None,
+            announced_outcome: None,
         });
         self.sessions[key].legs.push((number, leg));
         debug!(
@@ -168,44 +168,46 @@
         true
     }
 
-    /// The leg's connection was not established. An error on an established connection is handled as its close, since a
+    /// Handles a leg whose connection was not established. An error on an established connection is handled as its close, since a
     /// request sent on it may have run.
     pub(super) fn handle_connect_failed(&mut self, now: f64, leg: usize) {
-        match self.legs.get(leg).map(|out| out.stage) {
+        match self.legs.get(leg).map(|server_leg| server_leg.stage) {
             Some(LegStage::Queued | LegStage::Connecting) => self.fail_leg(now, leg, LegOutcome::Unreachable),
             Some(_) => self.handle_server_closed(now, leg, CloseKind::Abortive),
             None => {}
         }
     }
 
-    /// The connection attempt could not be started, for lack of a descriptor, memory or a local port. That says nothing
-    /// about the server, so it is tried again within the call's time.
+    /// Handles a connection attempt that could not be started, for lack of a descriptor, memory or a local port. The server is
+    /// not the cause, so the attempt is repeated within the call's time.
     pub(super) fn postpone_connect(&mut self, now: f64, leg: usize) {
         let pause = self.connect_timeout.min(self.longest_guard_time) / CONNECT_RETRIES;
-        let Some(out) = self.legs.get_mut(leg).filter(|l| l.stage == LegStage::Connecting) else { return };
-        out.stage = LegStage::Queued;
-        let at = (now + pause).min(out.connect_by).min(out.answer_by);
-        if let Some(old) = out.timer.replace(self.timers.set(at, TimerKind::Leg(leg))) {
+        let Some(server_leg) = self.legs.get_mut(leg).filter(|l| l.stage == LegStage::Connecting) else {
+            return;
+        };
+        server_leg.stage = LegStage::Queued;
+        let at = (now + pause).min(server_leg.connect_by).min(server_leg.answer_by);
+        if let Some(old) = server_leg.timer.replace(self.timers.set(at, TimerKind::Leg(leg))) {
             self.timers.cancel(old);
         }
     }
 
     /// Starts a postponed connection attempt again, or ends the leg where its time is over.
     pub(super) fn retry_connect(&mut self, now: f64, leg: usize) {
-        let out = &mut self.legs[leg];
-        out.timer = None;
-        if now >= out.connect_by.min(out.answer_by) {
+        let server_leg = &mut self.legs[leg];
+        server_leg.timer = None;
+        if now >= server_leg.connect_by.min(server_leg.answer_by) {
             return self.fail_leg(now, leg, LegOutcome::NotSent);
         }
-        out.stage = LegStage::Connecting;
-        out.timer = Some(self.timers.set(out.connect_by, TimerKind::Leg(leg)));
-        let to = out.address;
+        server_leg.stage = LegStage::Connecting;
+        server_leg.timer = Some(self.timers.set(server_leg.connect_by, TimerKind::Leg(leg)));
+        let to = server_leg.address;
         self.effects.push(Effect::Connect(leg, to));
     }
 
     /// Schedules another attempt to restore a connection, or gives up where the client's waiting time is over.
     pub(super) fn retry_restore(&mut self, now: f64, key: usize) {
-        let until = self.sessions[key].restoring.as_ref().map_or(now, |(_, wanted)| wanted.deadline);
+        let until = self.sessions[key].restoring.as_ref().map_or(now, |(_, request)| request.deadline);
         if now < until {
             self.replace_stage_timer(key, Some((now + 0.1).min(until)));
         } else {
@@ -213,47 +215,49 @@
         }
     }
 
-    /// The leg's connection is established: sends its request if that is still allowed.
+    /// Handles a leg whose connection is established: sends its request if that is still allowed.
     pub(super) fn handle_connected(&mut self, now: f64, leg: usize) {
-        let Some(out) = self.legs.get(leg).filter(|l| l.stage == LegStage::Connecting) else { return };
-        let session = &self.sessions[out.session];
+        let Some(server_leg) = self.legs.get(leg).filter(|l| l.stage == LegStage::Connecting) else { return };
+        let session = &self.sessions[server_leg.session];
         // The server may have been drained, removed, restarted or moved since the leg was started. Without these checks
         // such legs still sent their requests, even after the drain's grace period where connecting took longer than
         // that.
-        let address_unchanged = self.servers.0.get(&out.server).is_some_and(|s| s.dial == Some(out.address));
-        let still_allowed = session.call.as_ref().is_none_or(|call| call.may_send_now(now, out.number));
-        if !address_unchanged || !still_allowed || now >= out.answer_by {
+        let address_unchanged =
+            self.servers.0.get(&server_leg.server).is_some_and(|s| s.dial == Some(server_leg.address));
+        let still_allowed =
+            session.call.as_ref().is_none_or(|call| call.may_send_now(now, server_leg.number));
+        if !address_unchanged || !still_allowed || now >= server_leg.answer_by {
             return self.fail_leg(now, leg, LegOutcome::NotSent);
         }
         if !self.may_send(now, leg) {
             return self.fail_leg(now, leg, LegOutcome::NotSent);
         }
-        let out = &self.legs[leg];
-        let session = &self.sessions[out.session];
+        let server_leg = &self.legs[leg];
+        let session = &self.sessions[server_leg.session];
         let timeout_range = session.wait_range.clone();
-        let timeout_ms = ((out.answer_by - now) * 1000.0).max(1.0) as u64;
-        self.effects.push(Effect::SendHead { leg, session: out.session, timeout_range, timeout_ms });
+        let timeout_ms = ((server_leg.answer_by - now) * 1000.0).max(1.0) as u64;
+        self.effects.push(Effect::SendHead { leg, session: server_leg.session, timeout_range, timeout_ms });
     }
 
     /// Handles bytes from a server, according to the leg's stage.
     pub(super) fn handle_server_bytes(&mut self, now: f64, leg: usize, bytes: &[u8]) {
-        let Some(out) = self.legs.get_mut(leg) else { return };
-        let key = out.session;
-        match out.stage {
-            // The server has not received the request, so its answer counts only if it reports that it is full.
+        let Some(server_leg) = self.legs.get_mut(leg) else { return };
+        let key = server_leg.session;
+        match server_leg.stage {
+            // The server has not received the request, so its answer is used only if it reports that the server is full.
             LegStage::Queued | LegStage::Connecting => {
-                out.answer.extend_from_slice(bytes);
-                let full = matches!(first_line_end(&out.answer), Ok(Some(end)) if parse_server_message(trim_line_end(&out.answer[..end])) == ServerMessage::Busy);
+                server_leg.answer.extend_from_slice(bytes);
+                let full = matches!(first_line_end(&server_leg.answer), Ok(Some(end)) if parse_server_message(trim_line_end(&server_leg.answer[..end])) == ServerMessage::Busy);
                 self.fail_leg(now, leg, if full { LegOutcome::Full } else { LegOutcome::Unreachable });
             }
             LegStage::AwaitingAnswer => {
-                out.answer.extend_from_slice(bytes);
-                let end = match first_line_end(&out.answer) {
+                server_leg.answer.extend_from_slice(bytes);
+                let end = match first_line_end(&server_leg.answer) {
                     Ok(Some(end)) => end,
                     Ok(None) => return,
                     Err(_) => return self.fail_leg(now, leg, LegOutcome::Error),
                 };
-                match parse_server_message(trim_line_end(&out.answer[..end])) {
+                match parse_server_message(trim_line_end(&server_leg.answer[..end])) {
                     ServerMessage::Up => self.establish(now, leg),
                     ServerMessage::Busy => self.fail_leg(now, leg, LegOutcome::Full),
                     ServerMessage::Move => self.fail_leg(now, leg, LegOutcome::Cancelled),
@@ -265,13 +269,15 @@
         }
     }
 
-    /// The server has accepted the call: forwards its answer to the client, and everything that follows.
+    /// Handles a call that the server has accepted: forwards the server's answer to the client. What follows is forwarded as
+    /// it arrives.
     pub(super) fn establish(&mut self, now: f64, leg: usize) {
-        let out = &mut self.legs[leg];
-        let (key, number, server, asked_at) = (out.session, out.number, out.server, out.head_sent_at);
-        let answer = std::mem::take(&mut out.answer);
-        out.stage = LegStage::Established;
-        if let Some(timer) = out.timer.take() {
+        let server_leg = &mut self.legs[leg];
+        let (key, number, server, sent_at) =
+            (server_leg.session, server_leg.number, server_leg.server, server_leg.head_sent_at);
+        let answer = std::mem::take(&mut server_leg.answer);
+        server_leg.stage = LegStage::Established;
+        if let Some(timer) = server_leg.timer.take() {
             self.timers.cancel(timer);
         }
         let session = &mut self.sessions[key];
@@ -280,16 +286,16 @@
         debug!(
             "{}: established at server {server:x}, {:.3} s after the request was sent",
             session.log_id(),
-            now - asked_at
+            now - sent_at
         );
-        if let Some((_, wanted)) = session.restoring.take() {
-            let call = self.balancer.adopt_connection(now, session.id, wanted, server);
+        if let Some((_, request)) = session.restoring.take() {
+            let call = self.balancer.adopt_connection(now, session.id, request, server);
             session.call = Some(call);
         } else if let Some(call) = &session.call {
             call.on_established(now, number);
         }
-        // Ends the other legs that are out. A call without attempts is a restored connection.
-        let (traffic, is_new_call) = (session.traffic, session.legs_sent > 0);
+        // Ends the call's other open legs. A call without attempts is a restored connection.
+        let (traffic_type, is_new_call) = (session.traffic_type, session.legs_sent > 0);
         let others: Vec<usize> = session.legs.iter().map(|(_, l)| *l).filter(|l| *l != leg).collect();
         for other in others {
             self.end_leg(now, other, LegOutcome::Cancelled, false, CloseKind::Abortive);
@@ -301,40 +307,40 @@
             let timer = self.timers.set(move_at, TimerKind::MoveClient(key));
             self.replace_wake_timer(key, Some(timer));
         }
-        let usable = is_new_call && self.is_server_delay(now - asked_at);
-        if let Some(address) = self.servers.0.get_mut(&server).filter(|_| usable) {
+        let usable = is_new_call && self.is_server_delay(now - sent_at);
+        if let Some(record) = self.servers.0.get_mut(&server).filter(|_| usable) {
             let running_for =
-                now - address.started.map_or(self.started_at, |started| started.max(self.started_at));
+                now - record.started.map_or(self.started_at, |started| started.max(self.started_at));
             let decay_time = 4.0 * self.longest_guard_time;
-            let slowdown = address.set_up_latency.record(
-                &mut self.setup_baselines,
-                traffic,
-                now - asked_at,
+            let slowdown = record.set_up_latency.record(
+                &mut self.type_means,
+                traffic_type,
+                now - sent_at,
                 (now, running_for),
                 decay_time,
             );
-            self.report_message_delay(now, leg, SETUP_DELAY, slowdown * self.slow_setup_unit);
+            self.report_message_delay(now, leg, SET_UP_DELAY, slowdown * self.slow_set_up_unit);
         }
         self.inspect_server_lines(now, leg, &answer);
         self.effects.push(Effect::Write(Endpoint::Client(key), answer));
     }
 
-    /// The server closed the leg's connection, or the connection failed.
+    /// Handles a leg's connection that the server closed or that failed.
     pub(super) fn handle_server_closed(&mut self, now: f64, leg: usize, kind: CloseKind) {
-        let Some(out) = self.legs.get(leg) else { return };
-        let (key, farewell) = (out.session, out.announced_ending);
-        match out.stage {
+        let Some(server_leg) = self.legs.get(leg) else { return };
+        let (key, announced_outcome) = (server_leg.session, server_leg.announced_outcome);
+        match server_leg.stage {
             LegStage::Queued | LegStage::Connecting => self.fail_leg(now, leg, LegOutcome::Unreachable),
             LegStage::AwaitingAnswer => self.fail_leg(now, leg, LegOutcome::Broken),
             LegStage::Closing => self.close_session(now, key, CloseKind::Graceful, CloseReason::ServerEnded),
             LegStage::Established => {
-                if farewell.is_none() && self.sessions[key].from_server.is_between_lines() {
-                    // Lost without an announcement: a client that is sent `MOVE` reconnects sooner than one that is cut
-                    // off.
+                if announced_outcome.is_none() && self.sessions[key].from_server.is_between_lines() {
+                    // The connection was lost without an announcement: a client that is sent `MOVE` reconnects sooner
+                    // than one that is cut off.
                     return self.move_client(now, key, LegOutcome::Broken);
                 }
-                let ending = farewell.unwrap_or(LegOutcome::Broken);
-                self.end_leg(now, leg, ending, true, kind);
+                let outcome = announced_outcome.unwrap_or(LegOutcome::Broken);
+                self.end_leg(now, leg, outcome, true, kind);
                 self.begin_closing(now, key);
                 match kind {
                     CloseKind::Graceful => self.effects.push(Effect::ShutdownWrite(Endpoint::Client(key))),
@@ -346,60 +352,66 @@
         }
     }
 
-    /// Ends a leg that established no connection, and retries where it was to restore one.
-    pub(super) fn fail_leg(&mut self, now: f64, leg: usize, ending: LegOutcome) {
-        let Some(out) = self.legs.get(leg) else { return };
-        let key = out.session;
-        let returning = self.sessions[key].stage == SessionStage::Restoring;
-        self.end_leg(now, leg, ending, false, CloseKind::Abortive);
-        if returning {
+    /// Ends a leg that was not established, and retries if it was to restore a connection.
+    pub(super) fn fail_leg(&mut self, now: f64, leg: usize, outcome: LegOutcome) {
+        let Some(server_leg) = self.legs.get(leg) else { return };
+        let key = server_leg.session;
+        let restoring = self.sessions[key].stage == SessionStage::Restoring;
+        self.end_leg(now, leg, outcome, false, CloseKind::Abortive);
+        if restoring {
             self.retry_restore(now, key);
         }
     }
 
-    /// Reports the end of an attempt to the session's call. `last` says whether the call is over with it.
+    /// Reports the end of an attempt to the session's call. `last`: the call has ended with it.
     pub(super) fn report_attempt_end(
         &mut self,
         now: f64,
         key: usize,
         number: usize,
-        ending: LegOutcome,
+        outcome: LegOutcome,
         last: bool,
     ) {
         if let Some(call) = self.sessions[key].call.clone() {
-            call.on_leg_ended(now, number, ending, last);
+            call.on_leg_ended(now, number, outcome, last);
         }
     }
 
     /// Reports the end of a leg to its call, unless that was done when the leg began closing.
-    pub(super) fn report_leg_end(&mut self, now: f64, leg: usize, ending: LegOutcome, last: bool) {
+    pub(super) fn report_leg_end(&mut self, now: f64, leg: usize, outcome: LegOutcome, last: bool) {
         let (key, number) = (self.legs[leg].session, self.legs[leg].number);
         if self.legs[leg].stage != LegStage::Closing {
-            self.report_attempt_end(now, key, number, ending, last);
+            self.report_attempt_end(now, key, number, outcome, last);
         }
     }
 
     /// Ends a leg and frees its slot, timer, buffer and socket. This is the only place that does so.
-    pub(super) fn end_leg(&mut self, now: f64, leg: usize, ending: LegOutcome, last: bool, kind: CloseKind) {
-        self.report_leg_end(now, leg, ending, last);
-        let out = self.legs.remove(leg);
-        self.counters.endings.count(ending_name(ending));
-        let session = &mut self.sessions[out.session];
-        if out.stage == LegStage::AwaitingAnswer && !matches!(ending, LegOutcome::Full | LegOutcome::NotSent)
+    pub(super) fn end_leg(&mut self, now: f64, leg: usize, outcome: LegOutcome, last: bool, kind: CloseKind) {
+        self.report_leg_end(now, leg, outcome, last);
+        let server_leg = self.legs.remove(leg);
+        self.counters.endings.count(outcome_name(outcome));
+        let session = &mut self.sessions[server_leg.session];
+        if server_leg.stage == LegStage::AwaitingAnswer
+            && !matches!(outcome, LegOutcome::Full | LegOutcome::NotSent)
         {
-            if let Some(server) = self.servers.0.get(&out.server) {
+            if let Some(server) = self.servers.0.get(&server_leg.server) {
                 session.may_have_run.get_or_insert(SentAttempt {
-                    at: out.head_sent_at,
+                    at: server_leg.head_sent_at,
                     zone: server.zone,
                     cell: server.cell,
                 });
             }
         }
-        debug!("{}: leg {} at server {:x} ended: {ending:?}", session.log_id(), out.number, out.server);
-        if let Some(timer) = out.timer {
+        debug!(
+            "{}: leg {} at server {:x} ended: {outcome:?}",
+            session.log_id(),
+            server_leg.number,
+            server_leg.server
+        );
+        if let Some(timer) = server_leg.timer {
             self.timers.cancel(timer);
         }
-        self.sessions[out.session].legs.retain(|(_, l)| *l != leg);
+        self.sessions[server_leg.session].legs.retain(|(_, l)| *l != leg);
         self.effects.push(Effect::Close(Endpoint::Server(leg), kind));
         self.descriptors.used -= 1;
         self.update_accepting(now);
--- a/crates/dewhead-proxy/src/reducer/shutdown.rs
+++ b/crates/dewhead-proxy/src/reducer/shutdown.rs
@@ -1,21 +1,22 @@
 //! The graceful stop, and the drain, which can be cancelled.
 
-use super::{Reducer, TimerKind, ARRIVALS_AFTER_STOP_S};
+use super::{Reducer, TimerKind, ARRIVALS_AFTER_STOP_SECONDS};
 use crate::state::sessions::{LegStage, SessionStage};
 use dewhead::types::LegOutcome;
 use log::info;
 
-/// A stopping process is killed 0.7 s after the longest guard time, or after this many seconds if that is shorter.
-const MAX_STOP_WAIT_S: f64 = 3.0;
-/// Counted from that time without the 0.7 s, in seconds: when every waiting client has its answer, when all established
-/// clients are moved, and when the process exits.
-const ANSWERS_DUE_AFTER_S: f64 = 0.4;
-const FINAL_MOVES_AFTER_S: f64 = 0.45;
-const EXIT_AFTER_S: f64 = 0.6;
+/// A stopping process is killed 0.7 s after its stop time, which is the longest guard time or, if shorter, this many
+/// seconds after the stop was requested.
+const MAX_STOP_WAIT_SECONDS: f64 = 3.0;
+/// In seconds after the stop time: when every waiting client has its answer, when all established clients are moved, and
+/// when the process exits.
+const ANSWERS_DUE_AFTER_SECONDS: f64 = 0.4;
+const FINAL_MOVES_AFTER_SECONDS: f64 = 0.45;
+const EXIT_AFTER_SECONDS: f64 = 0.6;
 
 impl Reducer {
-    /// Starts a stop that a signal requested. During a handover the signal's time limits replace the handover's, as its
-    /// sender waits no longer.
+    /// Starts a stop that a signal requested. During a handover the signal's time limits replace the handover's, as the
+    /// sender of the signal waits no longer.
     pub(super) fn begin_stop(&mut self, now: f64) {
         if self.stop_requested {
             return;
@@ -25,22 +26,22 @@
         self.exits_when_empty = true;
         self.drain_spread = self.default_drain_spread();
         self.schedule_moves(now);
-        self.schedule_exit(now, self.longest_guard_time.min(MAX_STOP_WAIT_S));
+        self.schedule_exit(now, self.longest_guard_time.min(MAX_STOP_WAIT_SECONDS));
     }
 
     /// The longest time that a stop requested by a signal takes, in seconds.
     pub fn max_stop_duration(&self) -> f64 {
-        self.longest_guard_time.min(MAX_STOP_WAIT_S) + EXIT_AFTER_S
+        self.longest_guard_time.min(MAX_STOP_WAIT_SECONDS) + EXIT_AFTER_SECONDS
     }
 
     /// Sets the timers and the answer deadline for an exit about this many seconds from now. Without the deadline, calls
     /// waited for their whole guard time, 4.8 s at one site, and clients that were waiting, established or late to arrive
     /// were cut off when the process was killed.
     pub(super) fn schedule_exit(&mut self, now: f64, seconds: f64) {
-        self.timers.set(now + ARRIVALS_AFTER_STOP_S, TimerKind::ArrivalsOver);
-        self.timers.set(now + seconds + FINAL_MOVES_AFTER_S, TimerKind::FinalMoves);
-        self.timers.set(now + seconds + EXIT_AFTER_S, TimerKind::Exit);
-        let deadline = now + seconds + ANSWERS_DUE_AFTER_S;
+        self.timers.set(now + ARRIVALS_AFTER_STOP_SECONDS, TimerKind::ArrivalsOver);
+        self.timers.set(now + seconds + FINAL_MOVES_AFTER_SECONDS, TimerKind::FinalMoves);
+        self.timers.set(now + seconds + EXIT_AFTER_SECONDS, TimerKind::Exit);
+        let deadline = now + seconds + ANSWERS_DUE_AFTER_SECONDS;
         self.answer_deadline = Some(self.answer_deadline.map_or(deadline, |earlier| earlier.min(deadline)));
         let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
         keys.into_iter().for_each(|key| self.limit_wait(now, key));
@@ -54,8 +55,8 @@
         match session.stage {
             SessionStage::AwaitingServer => {}
             SessionStage::Restoring => {
-                if let Some((_, wanted)) = &mut session.restoring {
-                    wanted.deadline = wanted.deadline.min(deadline);
+                if let Some((_, request)) = &mut session.restoring {
+                    request.deadline = request.deadline.min(deadline);
                 }
             }
             _ => return,
@@ -65,24 +66,25 @@
         }
         let legs: Vec<usize> = session.legs.iter().map(|(_, leg)| *leg).collect();
         for leg in legs {
-            let out = &mut self.legs[leg];
-            if out.answer_by > deadline {
-                out.answer_by = deadline;
-                // A leg that is not connected yet may have less time already.
-                let at = match out.stage {
-                    // Its timer starts it, or ends it in time.
+            let server_leg = &mut self.legs[leg];
+            if server_leg.answer_by > deadline {
+                server_leg.answer_by = deadline;
+                // A leg that is not connected yet may have an earlier limit already.
+                let at = match server_leg.stage {
+                    // Its timer starts the connection again, or ends the leg in time.
                     LegStage::Queued => continue,
-                    LegStage::Connecting => out.connect_by.min(deadline),
+                    LegStage::Connecting => server_leg.connect_by.min(deadline),
                     _ => deadline,
                 };
-                if let Some(old) = out.timer.replace(self.timers.set(at.max(now), TimerKind::Leg(leg))) {
+                if let Some(old) = server_leg.timer.replace(self.timers.set(at.max(now), TimerKind::Leg(leg)))
+                {
                     self.timers.cancel(old);
                 }
             }
         }
     }
 
-    /// Moves all clients that are still established, while they have time to read it.
+    /// Moves all clients that are still established, while they have time to read the `MOVE`.
     pub(super) fn move_remaining_clients(&mut self, now: f64) {
         for key in self.established_sessions() {
             self.move_client(now, key, LegOutcome::Cancelled);
@@ -91,7 +93,7 @@
 
     /// Whether the process may exit: it has no session left and no more clients arrive, or the time for its stop is over.
     pub fn is_finished(&self, now: f64) -> bool {
-        let arrivals_over = self.draining_since.is_some_and(|at| now >= at + ARRIVALS_AFTER_STOP_S);
+        let arrivals_over = self.draining_since.is_some_and(|at| now >= at + ARRIVALS_AFTER_STOP_SECONDS);
         self.exit_due || (self.exits_when_empty && arrivals_over && self.sessions.is_empty())
     }
 
@@ -107,7 +109,7 @@
 
     /// The seconds over which clients are moved away where a drain's request gives none.
     pub fn default_drain_spread(&self) -> f64 {
-        0.5 * self.longest_guard_time.min(MAX_STOP_WAIT_S)
+        0.5 * self.longest_guard_time.min(MAX_STOP_WAIT_SECONDS)
     }
 
     /// Cancels a drain: clients that have not been moved yet stay.
@@ -141,9 +143,9 @@
     /// Draws the time at which a client is moved in a drain that began at `start`: spread at random, after clients have
     /// stopped arriving and well before the exit.
     pub(super) fn pick_move_time(&mut self, start: f64) -> f64 {
-        let latest = self
-            .answer_deadline
-            .map_or(f64::INFINITY, |deadline| deadline + FINAL_MOVES_AFTER_S - ANSWERS_DUE_AFTER_S);
-        (start + ARRIVALS_AFTER_STOP_S + 0.1 + self.drain_spread * self.rng.rand_float()).min(latest)
+        let latest = self.answer_deadline.map_or(f64::INFINITY, |deadline| {
+            deadline + FINAL_MOVES_AFTER_SECONDS - ANSWERS_DUE_AFTER_SECONDS
+        });
+        (start + ARRIVALS_AFTER_STOP_SECONDS + 0.1 + self.drain_spread * self.rng.rand_float()).min(latest)
     }
 }
--- a/crates/dewhead-proxy/src/reducer/status.rs
+++ b/crates/dewhead-proxy/src/reducer/status.rs
@@ -29,7 +29,7 @@
         self.watch.version
     }
 
-    /// Counters, and the current list. The uptime is in seconds.
+    /// The counters, the guard's counts and the current list. The uptime is in seconds.
     pub fn status(&self, now: f64) -> Value {
         let mut stages: BTreeMap<&str, usize> = BTreeMap::new();
         for (_, session) in &self.sessions {
@@ -56,7 +56,7 @@
             "sessions": self.sessions.len(), "by_stage": stages, "legs": self.legs.len(),
             "descriptors": self.descriptors.used, "descriptors_most": self.descriptors.limit,
             "accepting": self.descriptors.accepting, "uptime": ((now - self.started_at) * 1e3).round() / 1e3,
-            "list_version": self.watch.version, "watch_open": self.watch.answer.is_some(),
+            "list_version": self.watch.version, "watch_open": self.watch.response.is_some(),
             "watch_failures": self.watch.failed_attempts, "discovery": self.watch.discovery.to_string(),
             "servers_known": self.servers.0.len(), "servers_ready": ready, "servers": servers.collect::<Vec<_>>()
         })
@@ -72,12 +72,12 @@
         self.guard.record_violation(Violation::EndedBeforePredecessor, &"the predecessor process");
     }
 
-    /// Records the process's end: clients that are still owed something count as violations, and all counts are logged.
+    /// Records the process's end: counts a violation for each client that must still be sent something, and logs all counts.
     pub fn record_process_end(&mut self) {
         let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
         for key in keys {
-            let obligation = self.obligation_on_close(key, CloseReason::ProcessEnded);
-            self.guard.check_close(obligation, &self.sessions[key].log_id());
+            let pending_reply = self.pending_reply_on_close(key, CloseReason::ProcessEnded);
+            self.guard.check_close(pending_reply, &self.sessions[key].log_id());
             self.counters.closes.count(CloseReason::ProcessEnded.name());
         }
         info!("final counts: {}, violations {}", self.counters.to_json(), self.guard.total());
@@ -88,7 +88,7 @@
         let entry = |(key, session): (usize, &crate::state::sessions::Session)| {
             let server = session.legs.first().and_then(|(_, leg)| self.legs.get(*leg)).map(|leg| leg.server);
             json!({"slot": key, "stage": stage_name(session.stage), "server": server, "legs": session.legs_sent,
-                   "traffic": self.known_names.traffic_types.get(session.traffic)})
+                   "traffic": self.names.traffic_types.get(session.traffic_type)})
         };
         let listed: Vec<Value> = self.sessions.iter().take(MAX_LISTED_CONNECTIONS).map(entry).collect();
         json!({"sessions": self.sessions.len(), "told": listed.len(), "connections": listed})
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -12,34 +12,35 @@
 use std::net::SocketAddr;
 
 /// Discovery writes at least every two seconds; a watch that delivers no line for this many seconds is treated as lost. A
-/// change counts as known six seconds after discovery has it, so two attempts must fit into that time.
-const WATCH_SILENCE_TIMEOUT_S: f64 = 2.6;
+/// change must be in use six seconds after discovery has it, so two attempts must fit into that time.
+const WATCH_SILENCE_TIMEOUT_SECONDS: f64 = 2.6;
 /// Time for the first line after the request, in seconds. The agent answers at once or is absent; an overloaded discovery
 /// answers within two seconds, and a shorter time-out would waste the work that it has begun.
-const WATCH_OPEN_TIMEOUT_S: f64 = 2.2;
-/// A first line may take `WATCH_SILENCE_TIMEOUT_S` times the number of failed attempts, at least once and at most this
+const WATCH_OPEN_TIMEOUT_SECONDS: f64 = 2.2;
+/// A first line may take `WATCH_SILENCE_TIMEOUT_SECONDS` times the number of failed attempts, at least once and at most this
 /// many times that, as a long list may arrive slowly.
 const MAX_FIRST_LINE_PERIODS: u32 = 4;
-/// Bytes of an incomplete first line that must arrive in each `WATCH_SILENCE_TIMEOUT_S`; with fewer, discovery is
+/// Bytes of an incomplete first line that must arrive in each `WATCH_SILENCE_TIMEOUT_SECONDS`; with fewer, discovery is
 /// assumed to have stopped writing.
 const MIN_PROGRESS_BYTES: usize = 4096;
 /// Shortest and longest interval between two requests for the watch, in seconds, both varied at random. A watch that was
-/// open, or silent, for longer than the interval is requested again at once: a drain may be announced meanwhile, and
-/// counts.
-const WATCH_RETRY_PAUSE_S: (f64, f64) = (0.1, 0.8);
+/// open, or silent, for longer than the interval is requested again at once, as a drain may have been announced
+/// meanwhile.
+const WATCH_RETRY_PAUSE_SECONDS: (f64, f64) = (0.1, 0.8);
 /// Shortest and longest interval between two requests, in seconds, where discovery refuses them because it is overloaded.
-/// A hundred proxies that asked again every second kept it from answering any of them for the rest of the day. So it is
-/// asked, from the first refusal on, as seldom as the six seconds allow after which a change counts as known.
-const OVERLOAD_RETRY_PERIOD_S: (f64, f64) = (5.0, 5.6);
+/// When a hundred proxies repeated the request every second, discovery answered none of them for the rest of the day.
+/// From the first refusal on, requests are therefore as rare as the six seconds allow in which a change must be in use.
+const OVERLOAD_RETRY_PERIOD_SECONDS: (f64, f64) = (5.0, 5.6);
 
 /// The state of the watch on discovery.
 pub struct Watch {
+    /// The address of discovery.
     pub discovery: SocketAddr,
     /// The response being read; none while no connection is open.
-    pub answer: Option<WatchResponse>,
+    pub response: Option<WatchResponse>,
     /// When the watch was last requested.
     requested_at: f64,
-    /// Whether a whole line has arrived since then.
+    /// Whether a complete line has arrived since then.
     line_received: bool,
     /// Bytes of the first line since its deadline was last extended.
     progress_bytes: usize,
@@ -53,6 +54,7 @@
     pub overloaded: bool,
     /// Whether the timer ends a pause before the next request; otherwise it limits the wait for data.
     pub retry_pending: bool,
+    /// The timer that `retry_pending` describes.
     pub timer: Option<Timer>,
 }
 
@@ -61,7 +63,7 @@
     pub fn new(discovery: SocketAddr) -> Watch {
         Watch {
             discovery,
-            answer: None,
+            response: None,
             requested_at: f64::NEG_INFINITY,
             line_received: false,
             progress_bytes: 0,
@@ -78,17 +80,17 @@
 impl Reducer {
     /// Requests the watch unless it is open.
     pub(super) fn open_watch(&mut self, now: f64) {
-        if self.watch.answer.is_none() {
+        if self.watch.response.is_none() {
             self.watch.retry_pending = false;
             (self.watch.requested_at, self.watch.line_received, self.watch.progress_bytes) = (now, false, 0);
             self.effects.push(Effect::OpenWatch(self.watch.discovery, self.watch.version));
-            self.set_watch_deadline(now + WATCH_OPEN_TIMEOUT_S);
+            self.set_watch_deadline(now + WATCH_OPEN_TIMEOUT_SECONDS);
         }
     }
 
-    /// Requests the whole list from discovery at another address, at once. Versions of the old discovery mean nothing to
-    /// the new one: compared with them, the list of a discovery that counts lower would look outdated and never be
-    /// applied. The current list is kept until the new one arrives.
+    /// Requests the full list from discovery at another address, at once. The version numbers of the old discovery
+    /// don't apply to the new one: compared with them, the list of a discovery with lower numbers would look outdated and
+    /// never be applied. The current list is kept until the new one arrives.
     pub(super) fn switch_discovery(&mut self, now: f64, discovery: SocketAddr) {
         let timer = self.watch.timer.take();
         let entries = std::mem::take(&mut self.watch.entries);
@@ -98,39 +100,39 @@
 
     /// Sets the time by which the next line must have arrived.
     fn set_watch_deadline(&mut self, at: f64) {
-        let fresh = self.timers.set(at, TimerKind::Watch);
-        if let Some(old) = self.watch.timer.replace(fresh) {
+        let new_timer = self.timers.set(at, TimerKind::Watch);
+        if let Some(old) = self.watch.timer.replace(new_timer) {
             self.timers.cancel(old);
         }
     }
 
     /// Reads further bytes of the watch and applies the versions that they complete.
     pub(super) fn handle_watch_bytes(&mut self, now: f64, bytes: &[u8]) {
-        let Some(mut answer) = self.watch.answer.take() else { return };
-        let (mut lines, mut whole): (Vec<Vec<u8>>, bool) = (Vec::new(), false);
-        let outcome = answer.feed(bytes, |line| {
-            whole = true;
+        let Some(mut response) = self.watch.response.take() else { return };
+        let (mut lines, mut line_completed): (Vec<Vec<u8>>, bool) = (Vec::new(), false);
+        let outcome = response.feed(bytes, |line| {
+            line_completed = true;
             if !line.trim_ascii().is_empty() {
                 lines.push(line.to_vec());
             }
         });
-        self.watch.answer = Some(answer);
-        // Only whole lines show that the watch works: a line that arrived in pieces and never ended kept a dead watch
-        // open for ever.
-        if whole {
+        self.watch.response = Some(response);
+        // Only complete lines show that the watch works: a line that arrived in pieces and never ended kept a failed
+        // watch open for ever.
+        if line_completed {
             self.watch.line_received = true;
-            self.set_watch_deadline(now + WATCH_SILENCE_TIMEOUT_S);
+            self.set_watch_deadline(now + WATCH_SILENCE_TIMEOUT_SECONDS);
         } else if !self.watch.line_received {
             self.watch.progress_bytes += bytes.len();
             if self.watch.progress_bytes >= MIN_PROGRESS_BYTES {
                 self.watch.progress_bytes = 0;
                 let periods = self.watch.failed_attempts.clamp(1, MAX_FIRST_LINE_PERIODS);
-                let latest = self.watch.requested_at + WATCH_SILENCE_TIMEOUT_S * f64::from(periods);
-                self.set_watch_deadline(latest.min(now + WATCH_SILENCE_TIMEOUT_S));
+                let latest = self.watch.requested_at + WATCH_SILENCE_TIMEOUT_SECONDS * f64::from(periods);
+                self.set_watch_deadline(latest.min(now + WATCH_SILENCE_TIMEOUT_SECONDS));
             }
         }
         for line in lines {
-            match ListVersion::parse(&line, &self.known_names.zones) {
+            match ListVersion::parse(&line, &self.names.zones) {
                 Some(version) => {
                     if !self.apply_list(now, version, false) {
                         return self.abort_watch(now, "invalid list");
@@ -147,12 +149,7 @@
     }
 
     /// Applies a version of the list. Returns false where it is invalid; the current list is then kept.
-    pub(super) fn apply_list(
-        &mut self,
-        now: f64,
-        parsed: ParseResult<ListVersion>,
-        remembered: bool,
-    ) -> bool {
+    pub(super) fn apply_list(&mut self, now: f64, parsed: ParseResult<ListVersion>, cached: bool) -> bool {
         let mut update = match parsed {
             Ok(list) => list,
             Err(fault) => {
@@ -164,26 +161,27 @@
         };
         let (version, whole) = (update.number, update.whole);
         let reported_starts = self.convert_start_times(now, &mut update);
-        // An older version that names no server yet is ignored, too, even if it is a whole list.
+        // An older version that names no server yet is ignored, too, even if it is a full list.
         if version < self.watch.version && (!whole || update.entries.is_empty()) {
             warn!("discovery: ignoring version {version}, older than the current {}", self.watch.version);
             return true;
         }
         if version < self.watch.version {
             // A restarted discovery counts from one again. When its list was ignored until it had counted past the old
-            // version, servers that it drained meanwhile were still sent calls. A discovery that is merely behind makes
-            // no server ready again: one known as draining stays so until its process restarts or a change names it.
+            // version, servers that it drained meanwhile were still sent calls. A discovery whose list is merely
+            // outdated makes no server ready again: a draining one stays so until its process restarts or a change names
+            // it.
             warn!("discovery: version {version} after {}: its counter was reset", self.watch.version);
             for (listed, _) in &mut update.entries {
-                let known = self.servers.0.get(&listed.id);
-                if known.is_some_and(|k| k.state == ServerState::Draining && k.started == listed.started) {
+                let record = self.servers.0.get(&listed.id);
+                if record.is_some_and(|r| r.state == ServerState::Draining && r.started == listed.started) {
                     listed.state = ServerState::Draining;
                 }
             }
         }
         self.watch.version = version;
         (self.watch.failed_attempts, self.watch.overloaded) = (0, false);
-        self.watch.entries.apply(whole || remembered, &mut update);
+        self.watch.entries.apply(whole || cached, &mut update);
         for (listed, _) in &update.entries {
             let age = listed.started.map_or(f64::INFINITY, |started| now - started);
             debug!(
@@ -191,28 +189,28 @@
                 listed.id, listed.state, listed.zone, listed.weight
             );
         }
-        let gone = self.servers.apply(whole || remembered, &update.entries);
+        let gone = self.servers.apply(whole || cached, &update.entries);
         for ((listed, _), reported_start) in update.entries.iter().zip(reported_starts) {
             if let Some(server) = self.servers.0.get_mut(&listed.id) {
                 server.started_by_wall_clock = reported_start;
             }
         }
         let list_kind = match () {
-            () if remembered => ListUpdate::Cached,
+            () if cached => ListUpdate::Cached,
             () if whole => ListUpdate::Full,
             () => ListUpdate::Delta,
         };
         let listed: Vec<_> = update.entries.into_iter().map(|(listed, _)| listed).collect();
         self.balancer.on_list_update(now, list_kind, &listed);
-        if !remembered {
+        if !cached {
             self.confirm_list(now);
         }
         if !gone.is_empty() {
-            // Clients that are established at a server that is gone are moved. The list changes seldom enough to search
-            // all legs.
-            let lost = |l: &ServerLeg| l.stage == LegStage::Established && gone.contains(&l.server);
+            // Clients that are established at a server that is gone are moved. The list changes so rarely that all legs
+            // can be searched.
+            let at_gone_server = |l: &ServerLeg| l.stage == LegStage::Established && gone.contains(&l.server);
             let keys: Vec<usize> =
-                self.legs.iter().filter(|(_, l)| lost(l)).map(|(_, l)| l.session).collect();
+                self.legs.iter().filter(|(_, l)| at_gone_server(l)).map(|(_, l)| l.session).collect();
             keys.into_iter().for_each(|key| self.move_client(now, key, LegOutcome::Broken));
         }
         true
@@ -224,10 +222,13 @@
         let mut reported_starts = Vec::with_capacity(update.entries.len());
         for (listed, _) in &mut update.entries {
             reported_starts.push(listed.started);
-            let known =
-                self.servers.0.get(&listed.id).filter(|known| known.started_by_wall_clock == listed.started);
-            listed.started = match known {
-                Some(known) => known.started,
+            let record = self
+                .servers
+                .0
+                .get(&listed.id)
+                .filter(|record| record.started_by_wall_clock == listed.started);
+            listed.started = match record {
+                Some(record) => record.started,
                 None => listed.started.map(|reported| self.wall_clock.to_process_clock(now, reported)),
             };
         }
@@ -237,10 +238,10 @@
     /// Takes the current list as confirmed, and processes the first lines that arrived before that.
     pub(super) fn confirm_list(&mut self, now: f64) {
         if std::mem::take(&mut self.list_unconfirmed) {
-            let greeting =
+            let has_begun_first_line =
                 |s: &Session| s.stage == SessionStage::AwaitingFirstLine && !s.first_line.is_empty();
             let keys: Vec<usize> =
-                self.sessions.iter().filter(|(_, s)| greeting(s)).map(|(key, _)| key).collect();
+                self.sessions.iter().filter(|(_, s)| has_begun_first_line(s)).map(|(key, _)| key).collect();
             keys.into_iter().for_each(|key| self.process_first_line(now, key));
         }
     }
@@ -250,14 +251,14 @@
         if self.watch.failed_attempts == 0 {
             warn!("discovery: the watch is closed: {fault}");
         }
-        // A list that is too long will be so again: with short pauses, discovery would write it over and over.
+        // A list that is too long will be too long again: with short pauses, discovery would write it over and over.
         self.watch.overloaded = matches!(fault, STATUS_NOT_OK | LINE_TOO_LONG);
         self.effects.push(Effect::CloseWatch);
         self.schedule_watch_retry(now);
     }
 
-    /// Schedules the next request after the connection ended or was not established, which says nothing about discovery's
-    /// load.
+    /// Schedules the next request after the connection ended or was not established, which is no sign of overload at
+    /// discovery.
     pub(super) fn handle_watch_lost(&mut self, now: f64) {
         self.watch.overloaded = false;
         self.schedule_watch_retry(now);
@@ -265,20 +266,22 @@
 
     /// Counts a failed attempt and sets the timer for the next request.
     fn schedule_watch_retry(&mut self, now: f64) {
-        self.watch.answer = None;
+        self.watch.response = None;
         let failed_attempts = self.watch.failed_attempts;
         self.watch.failed_attempts = failed_attempts.saturating_add(1);
         if let Some(old) = self.watch.timer.take() {
             self.timers.cancel(old);
         }
-        // The pause counts from the last request, whichever way it failed: discovery would have sent what it had by then,
-        // and what it learns later counts as known six seconds after that. Counted from the failure, the pause added to
-        // the time spent on opening the watch.
+        // The pause begins at the last request, in whatever way that failed: discovery would have sent what it had by
+        // then, and a later change must be in use six seconds after discovery has it. With a pause that began at the
+        // failure, the time spent on opening the watch was added to it.
         let draw = self.rng.rand_float();
         let pause = if self.watch.overloaded {
-            OVERLOAD_RETRY_PERIOD_S.0 + (OVERLOAD_RETRY_PERIOD_S.1 - OVERLOAD_RETRY_PERIOD_S.0) * draw
+            OVERLOAD_RETRY_PERIOD_SECONDS.0
+                + (OVERLOAD_RETRY_PERIOD_SECONDS.1 - OVERLOAD_RETRY_PERIOD_SECONDS.0) * draw
         } else {
-            (WATCH_RETRY_PAUSE_S.0 * f64::from(1u32 << failed_attempts.min(4))).min(WATCH_RETRY_PAUSE_S.1)
+            (WATCH_RETRY_PAUSE_SECONDS.0 * f64::from(1u32 << failed_attempts.min(4)))
+                .min(WATCH_RETRY_PAUSE_SECONDS.1)
                 * (0.5 + draw)
         };
         let at = (self.watch.requested_at + pause).max(now);
--- a/crates/dewhead-proxy/src/state/buffered_socket.rs
+++ b/crates/dewhead-proxy/src/state/buffered_socket.rs
@@ -14,15 +14,15 @@
     /// Bytes to write; the first `written` of them are written already.
     pending: Vec<u8>,
     written: usize,
-    /// The write side is shut down once nothing is pending.
+    /// Whether the write side is shut down once nothing is pending.
     shutdown_pending: bool,
-    /// The connection is not established yet.
+    /// Whether the connection is not established yet.
     pub connecting: bool,
-    /// Bytes may be left to read, because the peer that they go to could not take them.
+    /// Whether bytes may be left to read, because the peer that they go to had unsent bytes.
     pub readable: bool,
-    /// The remote side has ended its stream, or the connection is broken.
+    /// Whether the remote side has ended its stream, or the connection is broken.
     pub read_ended: bool,
-    /// The first line has not been written to its last byte yet.
+    /// Whether the first line has not been written to its last byte yet.
     pub head_pending: bool,
 }
 
--- a/crates/dewhead-proxy/src/state/counters.rs
+++ b/crates/dewhead-proxy/src/state/counters.rs
@@ -44,19 +44,19 @@
 /// Why the proxy itself sent the final answer to a client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AnswerReason {
-    /// The balancer rejected the call; its refusal reason is counted apart.
+    /// The balancer rejected the call; its refusal reason is counted separately.
     Rejected,
-    /// The balancer released the call; its refusal reason is counted apart.
+    /// The balancer released the call; its refusal reason is counted separately.
     Released,
     /// The first line was malformed, too long or late.
     InvalidFirstLine,
     /// The client sent data before it had its answer.
     DataBeforeAnswer,
-    /// A `PING` that is not answered now: no server is known, or the proxy is stopping.
+    /// A `PING` was not answered: no server is listed, or the proxy is moving its clients away.
     PingDeclined,
     /// The connection could not be restored to the server that held it before.
     RestoreFailed,
-    /// The client was told to `MOVE`, to be placed again or because its server ended the connection.
+    /// The client was sent `MOVE`, to be sent to another server or because its server ended the connection.
     Moved,
     /// The server stopped in the middle of a line.
     IncompleteLine,
--- a/crates/dewhead-proxy/src/state/handover_state.rs
+++ b/crates/dewhead-proxy/src/state/handover_state.rs
@@ -102,9 +102,9 @@
         })
     };
     let set_up_latency = |(id, value): (&String, &Value)| {
-        let (recent, typical, count, ago) =
+        let (recent, typical, count, last_age) =
             (value[0].as_f64()?, value[1].as_f64()?, as_u32(&value[2])?, value[3].as_f64()?);
-        Some((id.parse().ok()?, (recent, typical, count, ago)))
+        Some((id.parse().ok()?, (recent, typical, count, last_age)))
     };
     let type_mean = |value: &Value| Some((as_u32(&value[0])?, value[1].as_f64()?));
     Some(HandoverState {
--- a/crates/dewhead-proxy/src/state/sessions.rs
+++ b/crates/dewhead-proxy/src/state/sessions.rs
@@ -28,7 +28,7 @@
 
 /// One client's connection.
 pub struct Session {
-    /// The slot and a serial number, which tells this session from earlier ones in the same slot.
+    /// The slot and a serial number, which distinguishes this session from earlier ones in the same slot.
     pub id: u64,
     /// Its state.
     pub stage: SessionStage,
@@ -43,7 +43,7 @@
     /// Where the client's waiting time is in the first line.
     pub wait_range: Range<usize>,
     /// Index of the traffic type.
-    pub traffic: usize,
+    pub traffic_type: usize,
     /// The balancer's call; none before it was taken, and while the connection is being restored.
     pub call: Option<Rc<Call>>,
     /// Open legs: the leg's number in the call, and its slot.
@@ -60,7 +60,7 @@
     pub last_line_at: f64,
     /// When the oldest unanswered line arrived, in seconds.
     pub unanswered_since: Option<f64>,
-    /// Set where the client is to be sent `MOVE` once the server's current line is complete: how its leg then ends.
+    /// If the client is to be sent `MOVE` once the server's current line is complete: the outcome of its leg then.
     pub pending_move: Option<LegOutcome>,
     /// The timeout for the first line, for the server's silence, and for closing, one after the other.
     pub timer: Option<Timer>,
@@ -68,7 +68,7 @@
     pub wake_timer: Option<Timer>,
     /// The first attempt that may have been executed, for the guard's check.
     pub may_have_run: Option<SentAttempt>,
-    /// While `Restoring`: the server that held the connection before, and the call's requirements.
+    /// While `Restoring`: the server that held the connection before, and the call's parameters.
     pub restoring: Option<(u64, CallRequest)>,
 }
 
@@ -107,7 +107,7 @@
     Queued,
     /// The connection is not established yet.
     Connecting,
-    /// The last byte of the first line is written.
+    /// The last byte of the first line is written, and the server has not answered yet.
     AwaitingAnswer,
     /// The server has accepted the call; lines pass in both directions.
     Established,
@@ -123,7 +123,7 @@
     pub number: usize,
     /// Id of the server.
     pub server: u64,
-    /// The address that it was dialled at.
+    /// The address that it connects to.
     pub address: SocketAddr,
     /// Its state.
     pub stage: LegStage,
@@ -138,5 +138,5 @@
     /// The timer for `connect_by`, `answer_by` or the next connection attempt.
     pub timer: Option<Timer>,
     /// How the connection will end, as announced by the server's last line: served, or sent away by `MOVE`.
-    pub announced_ending: Option<LegOutcome>,
+    pub announced_outcome: Option<LegOutcome>,
 }
--- a/crates/dewhead-proxy/src/state/set_up_latency.rs
+++ b/crates/dewhead-proxy/src/state/set_up_latency.rs
@@ -1,5 +1,5 @@
-//! Detects slow servers by how long they take to set up connections. On sockets servers do not report how long a message
-//! takes, and lines that are answered immediately say nothing about it: set-up is the only work whose duration is visible.
+//! Detects slow servers by how long they take to set up connections. On sockets, servers do not report how long a message
+//! takes, and a line that is answered immediately does not show it: set-up is the only work whose duration is visible.
 
 /// Weight of the newest sample in the recent mean.
 const RECENT_WEIGHT: f64 = 0.25;
@@ -68,11 +68,11 @@
         (self.recent, self.typical, self.count, self.last_at)
     }
 
-    /// A predecessor's statistics, with the last sample `ago` seconds before `now`; empty ones where its figures are
+    /// A predecessor's statistics, with the last sample `last_age` seconds before `now`; empty ones where its figures are
     /// implausible.
-    pub fn restore(now: f64, (recent, typical, count, ago): (f64, f64, u32, f64)) -> SetUpLatency {
-        if [recent, typical].iter().all(|x| x.abs() < 50.0) && ago >= 0.0 && ago.is_finite() {
-            SetUpLatency { recent, typical, count, last_at: now - ago }
+    pub fn restore(now: f64, (recent, typical, count, last_age): (f64, f64, u32, f64)) -> SetUpLatency {
+        if [recent, typical].iter().all(|x| x.abs() < 50.0) && last_age >= 0.0 && last_age.is_finite() {
+            SetUpLatency { recent, typical, count, last_at: now - last_age }
         } else {
             SetUpLatency::default()
         }
@@ -102,7 +102,7 @@
         self.typical +=
             (log - self.typical) * weight.max(1.0 / f64::from(self.count.max(MIN_SAMPLES)).powi(2));
         // When many clients connect at once and this process or the server has just started, the first set-ups are
-        // immediate and the others queue. Taken for slowness, this cut each server's limit to the few connections that it
+        // immediate and the others queue. When this was treated as slowness, it cut each server's limit to the few connections that it
         // held by then, and the other clients were rejected.
         if self.count < MIN_SAMPLES || running_for < decay_time * MIN_RUNNING_TIME {
             return 0.0;
--- a/crates/dewhead-proxy/src/state/timers.rs
+++ b/crates/dewhead-proxy/src/state/timers.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 pub struct Timer(u64, u64);
 
-/// Running timers, each with a value that tells what it is for.
+/// Running timers, each with a value that identifies its purpose.
 pub struct Timers<T> {
     /// By due time in microseconds, then by serial number.
     due: BTreeMap<(u64, u64), T>,
@@ -32,7 +32,7 @@
         Timer(key.0, key.1)
     }
 
-    /// Removes a timer; one that was due already is ignored.
+    /// Removes a timer; one that was removed by `pop` already is ignored.
     pub fn cancel(&mut self, timer: Timer) {
         self.due.remove(&(timer.0, timer.1));
     }
--- a/crates/dewhead-proxy/src/transient.rs
+++ b/crates/dewhead-proxy/src/transient.rs
@@ -8,7 +8,8 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 const MAX_ATTEMPTS: u32 = 50;
 
-/// Whether the error means that this machine is short of a resource, and says nothing about the object of the call.
+/// Whether the error is due to a shortage of resources on this machine, or to a signal, and not to the file, socket or
+/// address that the call is about.
 pub fn is_transient(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(
--- a/crates/dewhead-proxy/src/wire/answers.rs
+++ b/crates/dewhead-proxy/src/wire/answers.rs
@@ -4,7 +4,7 @@
 pub const PONG: &[u8] = b"PONG\r\n";
 /// Sends an established client away, to connect again.
 pub const MOVE: &[u8] = b"MOVE\r\n";
-/// The final answer to a call that failed, or to a line that was not understood.
+/// The final answer to a call that failed, or to an invalid line.
 pub const ERR: &[u8] = b"ERR\r\n";
 
 /// The meaning of a line from a server, by its first word.
@@ -44,7 +44,7 @@
     }
 }
 
-/// The answer that rejects a call; `retry_after` is how long the client is asked to wait, in seconds.
+/// The answer that rejects a call; `retry_after` is how long the client should wait, in seconds.
 pub fn busy(retry_after: Option<f64>) -> Vec<u8> {
     match retry_after {
         Some(seconds) => format!("BUSY {}\r\n", (seconds * 1000.0).ceil()).into_bytes(),
--- a/crates/dewhead-proxy/src/wire/http.rs
+++ b/crates/dewhead-proxy/src/wire/http.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery: a long-lived HTTP response with one JSON object a line. Its chunks may be split anywhere.
+//! The watch on discovery: a long-lived HTTP response with one JSON object per line. Its chunks may be split anywhere.
 
 /// The longest line of a watch; a longer one is an error. An entry takes about 140 bytes in the line and about a kilobyte once
 /// parsed, and the smallest proxy has 32 MB: a line has room for as many servers as a proxy can hold, and the proxy has room
@@ -20,7 +20,7 @@
 /// The error for a response with a status other than 200.
 pub const STATUS_NOT_OK: &str = "the HTTP status is not 200";
 
-/// What is expected next.
+/// The part of the response that is expected next.
 enum Expected {
     /// The response head.
     Head,
--- a/crates/dewhead-proxy/tests/guard.rs
+++ b/crates/dewhead-proxy/tests/guard.rs
@@ -1,7 +1,7 @@
 //! The guard finds each broken promise, and lets what is allowed go.
 
 use dewhead::types::{Idempotency, RepeatScope};
-use dewhead_proxy::guard::cold_start::{ColdStartLimit, LocationLoad};
+use dewhead_proxy::guard::cold_start::{ColdStartLimit, ZoneLoad};
 use dewhead_proxy::guard::{Guard, PendingReply, RepeatFacts, SendFacts, SentAttempt, Violation};
 use dewhead_startup::SlowStartSettings;
 
@@ -10,9 +10,9 @@
 
 fn repeating(effect: Idempotency, ran: Option<SentAttempt>, to: SentAttempt) -> RepeatFacts {
     RepeatFacts {
-        effect,
+        idempotency: effect,
         repeat_window: 2.0,
-        attempts_out: 0,
+        open_attempts: 0,
         two_at_once: false,
         may_have_run: ran,
         target: to,
@@ -67,7 +67,7 @@
         (Idempotency::OnceOnly, true, false),
         (Idempotency::Referenced(RepeatScope::All), true, false),
     ] {
-        let facts = RepeatFacts { attempts_out: 1, two_at_once, ..repeating(effect, None, SENT) };
+        let facts = RepeatFacts { open_attempts: 1, two_at_once, ..repeating(effect, None, SENT) };
         let wanted = if allowed { Ok(()) } else { Err(Violation::OverlappingAttempts) };
         assert_eq!(guard.may_repeat(&facts, &"request"), wanted, "{effect:?}, two at once: {two_at_once}");
     }
@@ -107,7 +107,7 @@
     };
     let mut limit = ColdStartLimit::new(terms);
     let locations = |connections| {
-        [LocationLoad { connections, ready_weight: 10.0 }, LocationLoad { connections, ready_weight: 10.0 }]
+        [ZoneLoad { connections, ready_weight: 10.0 }, ZoneLoad { connections, ready_weight: 10.0 }]
     };
     limit.observe(&locations(10));
     // 100 connections fill a unit of weight by what was agreed on, and half of them are there at this age.
--- a/crates/dewhead-proxy/tests/wire.rs
+++ b/crates/dewhead-proxy/tests/wire.rs
@@ -60,13 +60,13 @@
     let line =
         b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=order,t=shop-b,d=2000,g=0000000000000001,h=19461.105\r\n";
     match parse_first_line(line, 10.0, 3.0, &startup.names, true) {
-        Ok(FirstLine::Open { id, wanted, wait_range, server_range }) => {
+        Ok(FirstLine::Open { id, request, wait_range, server_range }) => {
             assert_eq!(
                 parse_server_message(b"LOAD 19461.105"),
-                ServerMessage::Load(wanted.load_hint.unwrap())
+                ServerMessage::Load(request.load_hint.unwrap())
             );
             assert_eq!(
-                (wanted.traffic_type, wanted.tenant, wanted.group, wanted.deadline),
+                (request.traffic_type, request.tenant, request.group, request.deadline),
                 (1, Some(1), Some(1), 12.0)
             );
             assert_eq!((&line[wait_range], server_range), (&b"2000"[..], None));
