--- a/crates/dewhead-proxy/src/clock.rs
+++ b/crates/dewhead-proxy/src/clock.rs
@@ -28,8 +28,8 @@
         self.start_time + self.started_at.elapsed().as_secs_f64()
     }
 
-    /// How many seconds the wall clock is ahead of this one: the sum of its steps since the start. `None` where the process was
-    /// delayed between reading the two.
+    /// How many seconds the wall clock is ahead of this one: the sum of its steps since the start. `None` where the
+    /// process was delayed between reading the two.
     pub fn wall_clock_offset(&self) -> Option<f64> {
         let before = Instant::now();
         let wall = wall();
--- a/crates/dewhead-proxy/src/control/predecessor.rs
+++ b/crates/dewhead-proxy/src/control/predecessor.rs
@@ -17,8 +17,8 @@
 /// Longest response with the learned state that is read.
 const MAX_HANDOVER_BYTES: usize = 64 << 20;
 
-/// A running process that has sent its listening socket and its learned state. It continues to serve until `confirm_takeover`;
-/// if this value is dropped before that, nothing changes there.
+/// A running process that has sent its listening socket and its learned state. It continues to serve until
+/// `confirm_takeover`; if this value is dropped before that, nothing changes there.
 pub struct Predecessor {
     stream: BufReader<BlockingUnixStream>,
     socket: PathBuf,
--- a/crates/dewhead-proxy/src/event_loop.rs
+++ b/crates/dewhead-proxy/src/event_loop.rs
@@ -237,7 +237,7 @@
                 other => other?,
             }
             let now = self.clock.now();
-            // A timer that runs late shows that the process was held up and that no socket was read in that time.
+            // A timer that runs late shows that the process was delayed and that no socket was read in that time.
             self.reducer.set_poll_times(polled_at, due.map_or(0.0, |at| (now - at).max(0.0)));
             if let Some(event) = events.iter().find(|e| e.token() == WATCH) {
                 self.watch_ready(now, event.is_writable());
@@ -283,7 +283,7 @@
                 self.handle_stage_event(now, StageEvent::ReloadRequested);
             }
             self.close_broken_sockets(now);
-            // Timers run only after all earlier bytes are read. Otherwise a process that was held up for a second
+            // Timers run only after all earlier bytes are read. Otherwise a process that was delayed for a second
             // treats unread answers as missing, and rejects clients whose answer has arrived. One poll may not
             // return all readable sockets.
             polls_since_tick += 1;
@@ -319,7 +319,7 @@
         while let Some(endpoint) = self.broken.pop_front() {
             // Bytes received before the failure are still valid, above all a final response.
             self.read(now, endpoint);
-            if self.connection(endpoint).is_some_and(|l| !l.read_ended) {
+            if self.connection(endpoint).is_some_and(|c| !c.read_ended) {
                 self.dispatch(now, Event::Closed(endpoint, CloseKind::Abortive), &[]);
             }
         }
@@ -413,7 +413,7 @@
             self.read(now, client);
         }
         // That read may have ended the leg and given its slot to another one that is still connecting.
-        if self.connection(Endpoint::Server(leg)).is_some_and(|l| !l.connecting) {
+        if self.connection(Endpoint::Server(leg)).is_some_and(|c| !c.connecting) {
             self.dispatch(now, Event::Connected(leg), &[]);
         }
     }
@@ -465,7 +465,7 @@
         for _ in 0..reads {
             let peer = self.reducer.peer_of(endpoint);
             let peer_is_full = peer.is_some_and(|p| self.connection(p).is_some_and(|c| !c.is_flushed()));
-            let Some(connection) = self.connection(endpoint).filter(|l| !l.read_ended && !l.connecting)
+            let Some(connection) = self.connection(endpoint).filter(|c| !c.read_ended && !c.connecting)
             else {
                 self.read_buffer = read_buffer;
                 return;
@@ -494,7 +494,7 @@
             }
         }
         self.read_buffer = read_buffer;
-        if self.connection(endpoint).is_some_and(|l| !l.read_ended && !l.readable) {
+        if self.connection(endpoint).is_some_and(|c| !c.read_ended && !c.readable) {
             self.pending_reads.push_back(endpoint);
         }
     }
@@ -520,7 +520,7 @@
         }
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
         // A watch that was opened in the meantime is still connecting.
-        while let Some(connection) = self.watch.as_mut().filter(|l| !l.connecting) {
+        while let Some(connection) = self.watch.as_mut().filter(|c| !c.connecting) {
             match connection.socket.read(&mut read_buffer) {
                 Ok(0) => self.watch_lost(now),
                 Ok(n) => self.dispatch(now, Event::WatchBytes(&read_buffer[..n]), &[]),
--- a/crates/dewhead-proxy/src/event_loop/control.rs
+++ b/crates/dewhead-proxy/src/event_loop/control.rs
@@ -105,8 +105,8 @@
         Ok(())
     }
 
-    /// Retires this process, as the successor serves: closes the listening socket and moves the clients away over this time
-    /// in seconds.
+    /// Retires this process, as the successor serves: closes the listening socket and moves the clients away over this
+    /// time in seconds.
     fn retire(&mut self, now: f64, slot: usize, seconds: Option<f64>) -> Result<serde_json::Value, String> {
         if self.successor_state != SuccessorState::Offered(slot) {
             return Err("only the process that received the listening socket can take over".to_owned());
--- a/crates/dewhead-proxy/src/guard.rs
+++ b/crates/dewhead-proxy/src/guard.rs
@@ -1,8 +1,9 @@
 //! Invariants that hold on every code path, checked at run time in the one place where each could be violated: before a
 //! request is sent, before it is repeated, before a connection is closed, and while a server is in slow start.
 //!
-//! The checks use only what the proxy itself has observed and share no state with the decisions that they check. A violation
-//! is a bug: it is counted, logged with the request's id, and the action is not carried out where that is possible.
+//! The checks use only what the proxy itself has observed and share no state with the decisions that they check. A
+//! violation is a bug: it is counted, logged with the request's id, and the action is not carried out where that is
+//! possible.
 
 pub mod cold_start;
 
@@ -187,8 +188,8 @@
         }
     }
 
-    /// Checks whether a server in slow start may be sent a request: `sent` is the number that this proxy has sent it within the
-    /// window, `max_requests` the number that all proxies together may send. One is always allowed.
+    /// Checks whether a server in slow start may be sent a request: `sent` is the number that this proxy has sent it
+    /// within the window, `max_requests` the number that all proxies together may send. One is always allowed.
     ///
     /// # Errors
     ///
--- a/crates/dewhead-proxy/src/guard/cold_start.rs
+++ b/crates/dewhead-proxy/src/guard/cold_start.rs
@@ -1,13 +1,13 @@
-//! The operators' limit for servers that have just started: how many requests all proxies together may send to one in any
-//! window. It is calculated from the settings, the server list and the connections at this proxy's servers, independently of the
-//! decisions that it checks.
+//! The operators' limit for servers that have just started: how many requests all proxies together may send to one in
+//! any window. It is calculated from the settings, the server list and the connections at this proxy's servers,
+//! independently of the decisions that it checks.
 
 use dewhead_startup::SlowStartSettings;
 
 /// Below this many requests in a window, the larger tolerance for random variation applies.
 const SMALL_COUNT: f64 = 30.0;
-/// Tolerance for random variation: a multiple of the square root of the expected number of requests, and a number of requests
-/// on top.
+/// Tolerance for random variation: a multiple of the square root of the expected number of requests, and a number of
+/// requests on top.
 const SMALL_COUNT_TOLERANCE: (f64, f64) = (3.0, 3.0);
 const TOLERANCE: (f64, f64) = (2.0, 2.0);
 
@@ -55,7 +55,8 @@
         }
     }
 
-    /// The most requests that all proxies together may send within a window to a server of this weight and age, in seconds.
+    /// The most requests that all proxies together may send within a window to a server of this weight and age, in
+    /// seconds.
     pub fn max_requests(&self, weight: f64, age: f64) -> f64 {
         let settings = &self.settings;
         let capacity_share =
@@ -65,7 +66,7 @@
         // The connections that fill a warm server of this size, estimated from what others of its size carry.
         let full_connections =
             weight * quota_per_weight.max(self.max_connections_per_weight * settings.proxies);
-        let allowed = settings.max_capacity_multiple * settings.window * capacity_share * full_connections
+        let allowed = settings.overload_multiple * settings.window * capacity_share * full_connections
             / settings.warm_after;
         let (root_multiple, margin) = if allowed < SMALL_COUNT { SMALL_COUNT_TOLERANCE } else { TOLERANCE };
         allowed + root_multiple * allowed.sqrt() + margin
--- a/crates/dewhead-proxy/src/lifecycle/stages.rs
+++ b/crates/dewhead-proxy/src/lifecycle/stages.rs
@@ -15,8 +15,8 @@
     Ready,
     /// The configuration is being read again.
     Reloading,
-    /// Moves its clients to other proxies and leaves `PING` unanswered, so that front-end load balancers send no new ones.
-    /// `UndrainRequested` reverts it.
+    /// Moves its clients to other proxies and leaves `PING` unanswered, so that front-end load balancers send no new
+    /// ones. `UndrainRequested` reverts it.
     Draining,
     /// A successor has taken over. The process ends once its own clients have left, or when their time is up.
     Retiring,
--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -168,8 +168,8 @@
 /// Minimum interval between two reports of a server's message delay to the balancer, in seconds.
 const DELAY_REPORT_INTERVAL_SECONDS: f64 = 1.0;
 /// A connection on which no line has answered the client's for this many seconds is treated as lost: a working server
-/// answers at once, and a line delayed for longer is treated as lost as well. With the clients' waiting time as the limit,
-/// connections into a failed zone stayed idle for all of that time.
+/// answers at once, and a line delayed for longer is treated as lost as well. With the clients' waiting time as the
+/// limit, connections into a failed zone stayed idle for all of that time.
 const MAX_REPLY_SILENCE_SECONDS: f64 = 1.0;
 /// A line that a server has begun is completed within this many seconds, or never.
 const LINE_COMPLETION_TIMEOUT_SECONDS: f64 = 0.9;
@@ -323,8 +323,8 @@
         (self.polled_at, self.iteration_delay) = (polled_at, delay);
     }
 
-    /// Records `offset`, by how many seconds the wall clock is ahead of the process's clock: the sum of the wall clock's steps
-    /// since the start.
+    /// Records `offset`, by how many seconds the wall clock is ahead of the process's clock: the sum of the wall
+    /// clock's steps since the start.
     pub fn observe_wall_clock(&mut self, offset: f64) {
         if let Some(step) = self.wall_clock.observe(offset) {
             warn!("the wall clock was stepped by {step:.3} s");
--- a/crates/dewhead-proxy/src/reducer/established.rs
+++ b/crates/dewhead-proxy/src/reducer/established.rs
@@ -66,8 +66,8 @@
         let Some(server) = self.servers.0.get_mut(&server_leg.server) else { return };
         server.message_delays[source] = (delay, now);
         // An estimate is used for one report interval only. When the last set-up's estimate was reported with each line
-        // that followed, the balancer treated it as a new one every second: it lowered the server's limit for good, and
-        // no set-up took place that could have corrected it.
+        // that followed, the balancer treated it as a new one every second: it lowered the server's limit permanently,
+        // and no set-up took place that could have corrected it.
         let recent = server.message_delays.iter().filter(|(_, at)| now - at < DELAY_REPORT_INTERVAL_SECONDS);
         let delay = recent.fold(0.0, |largest, (delay, _)| f64::max(largest, *delay));
         let slow = delay > self.slow_message_threshold;
--- a/crates/dewhead-proxy/src/reducer/handover.rs
+++ b/crates/dewhead-proxy/src/reducer/handover.rs
@@ -35,8 +35,8 @@
         info!("imported what was learned of {restored_count} servers, {age:.1} s old");
     }
 
-    /// Begins the retirement, as another process serves from now on: moves all clients away over this many seconds; then the
-    /// process exits.
+    /// Begins the retirement, as another process serves from now on: moves all clients away over this many seconds;
+    /// then the process exits.
     pub(super) fn begin_retirement(&mut self, now: f64, spread: f64) {
         if self.exits_when_empty {
             return;
--- a/crates/dewhead-proxy/src/reducer/legs.rs
+++ b/crates/dewhead-proxy/src/reducer/legs.rs
@@ -168,8 +168,8 @@
         true
     }
 
-    /// Handles a leg whose connection was not established. An error on an established connection is handled as its close, since a
-    /// request sent on it may have run.
+    /// Handles a leg whose connection was not established. An error on an established connection is handled as its
+    /// close, since a request sent on it may have run.
     pub(super) fn handle_connect_failed(&mut self, now: f64, leg: usize) {
         match self.legs.get(leg).map(|server_leg| server_leg.stage) {
             Some(LegStage::Queued | LegStage::Connecting) => self.fail_leg(now, leg, LegOutcome::Unreachable),
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Handles a connection attempt that could not be started, for lack of a descriptor, memory or a local port. The server is
-    /// not the cause, so the attempt is repeated within the call's time.
+    /// Handles a connection attempt that could not be started, for lack of a descriptor, memory or a local port. The
+    /// server is not the cause, so the attempt is repeated within the call's time.
     pub(super) fn postpone_connect(&mut self, now: f64, leg: usize) {
         let pause = self.connect_timeout.min(self.longest_guard_time) / CONNECT_RETRIES;
         let Some(server_leg) = self.legs.get_mut(leg).filter(|l| l.stage == LegStage::Connecting) else {
@@ -269,8 +269,8 @@
         }
     }
 
-    /// Handles a call that the server has accepted: forwards the server's answer to the client. What follows is forwarded as
-    /// it arrives.
+    /// Handles a call that the server has accepted: forwards the server's answer to the client. What follows is
+    /// forwarded as it arrives.
     pub(super) fn establish(&mut self, now: f64, leg: usize) {
         let server_leg = &mut self.legs[leg];
         let (key, number, server, sent_at) =
--- a/crates/dewhead-proxy/src/reducer/status.rs
+++ b/crates/dewhead-proxy/src/reducer/status.rs
@@ -72,7 +72,8 @@
         self.guard.record_violation(Violation::EndedBeforePredecessor, &"the predecessor process");
     }
 
-    /// Records the process's end: counts a violation for each client that must still be sent something, and logs all counts.
+    /// Records the process's end: counts a violation for each client that must still be sent something, and logs all
+    /// counts.
     pub fn record_process_end(&mut self) {
         let keys: Vec<usize> = self.sessions.iter().map(|(key, _)| key).collect();
         for key in keys {
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -17,8 +17,8 @@
 /// Time for the first line after the request, in seconds. The agent answers at once or is absent; an overloaded discovery
 /// answers within two seconds, and a shorter time-out would waste the work that it has begun.
 const WATCH_OPEN_TIMEOUT_SECONDS: f64 = 2.2;
-/// A first line may take `WATCH_SILENCE_TIMEOUT_SECONDS` times the number of failed attempts, at least once and at most this
-/// many times that, as a long list may arrive slowly.
+/// A first line may take `WATCH_SILENCE_TIMEOUT_SECONDS` times the number of failed attempts, at least once and at most
+/// this many times that, as a long list may arrive slowly.
 const MAX_FIRST_LINE_PERIODS: u32 = 4;
 /// Bytes of an incomplete first line that must arrive in each `WATCH_SILENCE_TIMEOUT_SECONDS`; with fewer, discovery is
 /// assumed to have stopped writing.
--- a/crates/dewhead-proxy/src/state/buffered_socket.rs
+++ b/crates/dewhead-proxy/src/state/buffered_socket.rs
@@ -46,8 +46,8 @@
         self.pending.is_empty()
     }
 
-    /// Writes the parts until the socket is full and buffers the rest. The poll reports a socket as writable again only after
-    /// a write has found it full, so a short write alone is no reason to stop.
+    /// Writes the parts until the socket is full and buffers the rest. The poll reports a socket as writable again only
+    /// after a write has found it full, so a short write alone is no reason to stop.
     ///
     /// # Errors
     ///
--- a/crates/dewhead-proxy/src/state/handover_state.rs
+++ b/crates/dewhead-proxy/src/state/handover_state.rs
@@ -11,8 +11,9 @@
 /// Version of the JSON form. A successor does not read any other version and then starts from the list file alone.
 pub const FORMAT_VERSION: u64 = 2;
 
-/// The text of each entry of the server list, by host name. An entry is removed when the list marks its server as gone or no
-/// longer names it. Kept as text, since parsed JSON trees took two thirds of all the memory that a proxy uses for a server.
+/// The text of each entry of the server list, by host name. An entry is removed when the list marks its server as gone
+/// or no longer names it. Kept as text, since parsed JSON trees took two thirds of all the memory that a proxy uses for
+/// a server.
 #[derive(Default)]
 pub struct RawEntries(BTreeMap<String, Box<str>>);
 
--- a/crates/dewhead-proxy/src/state/mod.rs
+++ b/crates/dewhead-proxy/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The state that a proxy keeps: sessions and legs, sockets with their write buffers, servers, timers, counters and what is
-//! handed over to a successor.
+//! The state that a proxy keeps: sessions and legs, sockets with their write buffers, servers, timers, counters and
+//! what is handed over to a successor.
 
 pub mod buffered_socket;
 pub mod counters;
--- a/crates/dewhead-proxy/src/state/servers.rs
+++ b/crates/dewhead-proxy/src/state/servers.rs
@@ -18,7 +18,8 @@
     pub cell: u64,
     /// Its weight in the list.
     pub weight: f64,
-    /// When requests were sent within the last slow-start window, in seconds; filled only while the server is in slow start.
+    /// When requests were sent within the last slow-start window, in seconds; filled only while the server is in slow
+    /// start.
     pub recent_sends: VecDeque<f64>,
     /// When its process started, in seconds on this process's clock.
     pub started: Option<f64>,
@@ -39,8 +40,8 @@
 pub struct Servers(pub BTreeMap<u64, ServerRecord>);
 
 impl Servers {
-    /// Applies a version of the list and returns the servers that it removes. `whole`: the version is the full list, not a
-    /// change.
+    /// Applies a version of the list and returns the servers that it removes. `whole`: the version is the full list,
+    /// not a change.
     pub fn apply(&mut self, whole: bool, entries: &[Entry]) -> Vec<u64> {
         let mut gone = Vec::new();
         if whole {
--- a/crates/dewhead-proxy/src/state/sessions.rs
+++ b/crates/dewhead-proxy/src/state/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions and legs. A session is one client's connection, from when it is accepted until it and all its legs are closed;
-//! a leg is one connection to a server on its behalf.
+//! Sessions and legs. A session is one client's connection, from when it is accepted until it and all its legs are
+//! closed; a leg is one connection to a server on its behalf.
 
 use super::timers::Timer;
 use crate::guard::SentAttempt;
@@ -103,7 +103,7 @@
 /// The state of a leg.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LegStage {
-    /// Not connecting yet: this machine was out of descriptors, memory or local ports for a moment.
+    /// Not connecting yet, as this machine temporarily lacked a descriptor, memory or a local port.
     Queued,
     /// The connection is not established yet.
     Connecting,
@@ -129,7 +129,7 @@
     pub stage: LegStage,
     /// The server's answer until its first line is complete; freed once the call is established.
     pub answer: Vec<u8>,
-    /// The deadline for the connection to come up, in seconds.
+    /// The deadline for the connection to be established, in seconds.
     pub connect_by: f64,
     /// The deadline for the server's answer, in seconds.
     pub answer_by: f64,
--- a/crates/dewhead-proxy/src/state/set_up_latency.rs
+++ b/crates/dewhead-proxy/src/state/set_up_latency.rs
@@ -78,10 +78,10 @@
         }
     }
 
-    /// Adds a set-up that took `seconds` and was answered at `now`. The recent mean decays towards the typical one with the
-    /// time constant `decay_time`, in seconds. `running_for` is how long both the server and this process have been running.
-    /// Returns by how much the ratio of recent to typical times exceeds ordinary variation, relative to that; 0 where
-    /// it does not, or where there are too few samples or the running time is too short to judge.
+    /// Adds a set-up that took `seconds` and was answered at `now`. The recent mean decays towards the typical one with
+    /// the time constant `decay_time`, in seconds. `running_for` is how long both the server and this process have been
+    /// running. Returns by how much the ratio of recent to typical times exceeds ordinary variation, relative to that;
+    /// 0 where it does not, or where there are too few samples or the running time is too short to judge.
     pub fn record(
         &mut self,
         type_means: &mut TypeMeans,
@@ -102,8 +102,8 @@
         self.typical +=
             (log - self.typical) * weight.max(1.0 / f64::from(self.count.max(MIN_SAMPLES)).powi(2));
         // When many clients connect at once and this process or the server has just started, the first set-ups are
-        // immediate and the others queue. When this was treated as slowness, it cut each server's limit to the few connections that it
-        // held by then, and the other clients were rejected.
+        // immediate and the others queue. When this was treated as slowness, it cut each server's limit to the few
+        // connections that it held by then, and the other clients were rejected.
         if self.count < MIN_SAMPLES || running_for < decay_time * MIN_RUNNING_TIME {
             return 0.0;
         }
--- a/crates/dewhead-proxy/src/state/start_times.rs
+++ b/crates/dewhead-proxy/src/state/start_times.rs
@@ -36,8 +36,8 @@
     }
 
     /// Converts a start time by the wall clock to the process's clock, both in seconds. The time may have been written
-    /// before or after a step: of the possible results the latest that is not in the future is used, so that a server that
-    /// has just started is never treated as warm.
+    /// before or after a step: of the possible results the latest that is not in the future is used, so that a server
+    /// that has just started is never treated as warm.
     pub fn to_process_clock(&self, now: f64, wall_time: f64) -> f64 {
         let possible =
             self.offsets.iter().map(|offset| wall_time - offset).filter(|at| *at <= now + MAX_CLOCK_SKEW);
--- a/crates/dewhead-proxy/src/state/timers.rs
+++ b/crates/dewhead-proxy/src/state/timers.rs
@@ -1,5 +1,5 @@
-//! All timers, in one ordered queue. The caller of `set` owns the timer and ends it by `cancel`; a due timer is removed by
-//! `pop`.
+//! All timers, in one ordered queue. The caller of `set` owns the timer and ends it by `cancel`; a due timer is removed
+//! by `pop`.
 
 use std::collections::BTreeMap;
 
--- a/crates/dewhead-proxy/src/transient.rs
+++ b/crates/dewhead-proxy/src/transient.rs
@@ -26,8 +26,8 @@
     )
 }
 
-/// Whether a file or an address may become available shortly: another process is about to release it, or a disk error occurred
-/// once.
+/// Whether a file or an address may become available shortly: another process is about to release it, or a disk error
+/// occurred once.
 fn is_retryable(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     is_transient(error) || matches!(errno, Some(Errno::IO | Errno::ADDRINUSE))
--- a/crates/dewhead-proxy/src/wire/first_line.rs
+++ b/crates/dewhead-proxy/src/wire/first_line.rs
@@ -25,9 +25,9 @@
     },
 }
 
-/// Parses a line with its CRLF. `now` is when it arrived, in seconds; `default_wait` is the waiting time until the line's
-/// own one is parsed, in seconds; `groups_enabled` is whether groups are used here. Each parameter in `CHECKED_PARAMETERS`
-/// is checked and may appear once; others are ignored, as clients may send more.
+/// Parses a line with its CRLF. `now` is when it arrived, in seconds; `default_wait` is the waiting time until the
+/// line's own one is parsed, in seconds; `groups_enabled` is whether groups are used here. Each parameter in
+/// `CHECKED_PARAMETERS` is checked and may appear once; others are ignored, as clients may send more.
 ///
 /// # Errors
 ///
--- a/crates/dewhead-proxy/src/wire/http.rs
+++ b/crates/dewhead-proxy/src/wire/http.rs
@@ -1,8 +1,8 @@
 //! The watch on discovery: a long-lived HTTP response with one JSON object per line. Its chunks may be split anywhere.
 
-/// The longest line of a watch; a longer one is an error. An entry takes about 140 bytes in the line and about a kilobyte once
-/// parsed, and the smallest proxy has 32 MB: a line has room for as many servers as a proxy can hold, and the proxy has room
-/// for the line.
+/// The longest line of a watch; a longer one is an error. An entry takes about 140 bytes in the line and about a
+/// kilobyte once parsed, and the smallest proxy has 32 MB: a line has room for as many servers as a proxy can hold, and
+/// the proxy has room for the line.
 const MAX_LINE_BYTES: usize = 4 << 20;
 /// The longest response head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
@@ -50,7 +50,8 @@
 }
 
 impl WatchResponse {
-    /// Takes further bytes. `on_line` is called for each complete line, also for empty ones. False: the response is complete.
+    /// Takes further bytes. `on_line` is called for each complete line, also for empty ones. False: the response is
+    /// complete.
     ///
     /// # Errors
     ///
--- a/crates/dewhead-proxy/src/wire/server_list.rs
+++ b/crates/dewhead-proxy/src/wire/server_list.rs
@@ -9,9 +9,10 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The id of a server: a 64-bit FNV-1a hash of its host name alone. It is the same at every proxy and after every restart, since
-/// the balancer ranks servers by it. With 32 bits, two of 7,400 servers would share an id with a probability of 0.6%, and a
-/// drain of one of them would drain the other at every proxy at once; with 64 bits the probability is 10^-12.
+/// The id of a server: a 64-bit FNV-1a hash of its host name alone. It is the same at every proxy and after every
+/// restart, since the balancer ranks servers by it. With 32 bits, two of 7,400 servers would share an id with a
+/// probability of 0.6%, and a drain of one of them would drain the other at every proxy at once; with 64 bits the
+/// probability is 10^-12.
 pub fn server_id(host: &str) -> u64 {
     host.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
@@ -60,8 +61,8 @@
         Ok(version)
     }
 
-    /// Parses a line of the watch, entry by entry: the full list as one JSON tree took ten times the memory of the line. `None`
-    /// where the line is not JSON of this form at all.
+    /// Parses a line of the watch, entry by entry: the full list as one JSON tree took ten times the memory of the
+    /// line. `None` where the line is not JSON of this form at all.
     ///
     /// # Errors
     ///
--- a/crates/dewhead-proxy/tests/guard.rs
+++ b/crates/dewhead-proxy/tests/guard.rs
@@ -99,7 +99,7 @@
     let terms = SlowStartSettings {
         cold_share: 0.2,
         warm_after: 10.0,
-        max_capacity_multiple: 2.5,
+        overload_multiple: 2.5,
         window: 2.0,
         proxies: 30.0,
         total_quota: 2000.0,
--- a/crates/dewhead-startup/src/lib.rs
+++ b/crates/dewhead-startup/src/lib.rs
@@ -32,7 +32,7 @@
     /// The age at which a server is warm, at the latest, in seconds.
     pub warm_after: f64,
     /// A server that is sent this multiple of its present capacity within the window fails.
-    pub max_capacity_multiple: f64,
+    pub overload_multiple: f64,
     /// The length of the window, in seconds.
     pub window: f64,
     /// The number of proxies.
@@ -186,7 +186,7 @@
         SlowStartSettings {
             cold_share: self.slow_start.cold_share,
             warm_after: self.slow_start.warm_after,
-            max_capacity_multiple: self.slow_start.overload_multiple,
+            overload_multiple: self.slow_start.overload_multiple,
             window: self.slow_start.window,
             proxies: self.balancer_count.max(1) as f64,
             total_quota: self.tenants.iter().map(|tenant| tenant.quota_connections).sum(),
--- a/crates/dewhead-startup/src/validation.rs
+++ b/crates/dewhead-startup/src/validation.rs
@@ -1,11 +1,12 @@
-//! Validation of settings that a person has written. Settings that make sense in no deployment are refused, with an error
-//! that names the key; settings that are valid but unusual are accepted, with a remark where they have little or no effect.
-//! The simulator generates its settings and skips this validation.
+//! Validation of settings that a person has written. Settings that make sense in no deployment are refused, with an
+//! error that names the key; settings that are valid but unusual are accepted, with a remark where they have little or
+//! no effect. The simulator generates its settings and skips this validation.
 
 use crate::fields::{array, boolean, field, number, optional, text, text_array, ParseResult};
 use serde_json::Value;
 
-/// Validates the settings. Returns a one-line remark for each setting that does not have the effect that its name suggests.
+/// Validates the settings. Returns a one-line remark for each setting that does not have the effect that its name
+/// suggests.
 ///
 /// # Errors
 ///
@@ -22,7 +23,8 @@
     let feedback = field(settings, "feedback")?;
     match text(feedback, "how")? {
         "off" => {}
-        // Accepted, as a proxy that did not start would serve no client, and placing calls by weights alone is nearly as good.
+        // Accepted, as a proxy that did not start would serve no client, and placing calls by weights alone is nearly
+        // as good.
         how @ ("on_probe" | "inline") => {
             text_array(feedback, "fields")?;
             optional(field(settings, "limits")?, "probes", boolean)?;
--- a/crates/dewhead-wirehost/src/host.rs
+++ b/crates/dewhead-wirehost/src/host.rs
@@ -25,8 +25,8 @@
     offered_load_field: Option<usize>,
     /// The open calls by id.
     calls: HashMap<u64, Rc<Call>>,
-    /// Calls that ended within the last `LATE_EVENTS_MS`, each after the time at which it ended, in milliseconds. An event
-    /// that refers to one of them is late, not an error.
+    /// Calls that ended within the last `LATE_EVENTS_MS`, each after the time at which it ended, in milliseconds. An
+    /// event that refers to one of them is late, not an error.
     ended_calls: VecDeque<(f64, u64)>,
 }
 
