--- a/crates/dewhead-proxy/src/guard/cold_start.rs
+++ b/crates/dewhead-proxy/src/guard/cold_start.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The most requests that all proxies together may send within a window to a server of this weight and age, in
-    /// seconds.
+    /// The most requests that all proxies together may send within a window to a server of this weight whose process is
+    /// `age` seconds old.
     pub fn max_requests(&self, weight: f64, age: f64) -> f64 {
         let settings = &self.settings;
         let capacity_share =
--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -174,7 +174,7 @@
 /// A line that a server has begun is completed within this many seconds, or never.
 const LINE_COMPLETION_TIMEOUT_SECONDS: f64 = 0.9;
 /// At the start, first lines are not processed until discovery has sent its list, but for no longer than this fraction of
-/// the longest guard time: the local agent either answers at once or not at all.
+/// the longest guard time: the local agent of discovery either answers at once or not at all.
 const CONFIRMATION_TIMEOUT_SHARE: f64 = 1.0 / 16.0;
 /// A measured duration is not attributed to a server if the iteration in which it ends was late by more than this
 /// fraction of the duration.
@@ -244,7 +244,7 @@
         startup: Startup,
         seed: u128,
         discovery: SocketAddr,
-        descriptor_limit: usize,
+        max_descriptors: usize,
         last_known_list: &Value,
     ) -> Reducer {
         let requests = Rc::new(RequestQueue::default());
@@ -291,7 +291,7 @@
             polled_at: f64::INFINITY,
             iteration_delay: 0.0,
             list_unconfirmed: false,
-            descriptors: Descriptors { used: RESERVED_DESCRIPTORS, limit: descriptor_limit, accepting: true },
+            descriptors: Descriptors { used: RESERVED_DESCRIPTORS, limit: max_descriptors, accepting: true },
             rng: Rand64::new(seed ^ 1),
             effects: Vec::new(),
         };
--- a/crates/dewhead-proxy/src/reducer/legs.rs
+++ b/crates/dewhead-proxy/src/reducer/legs.rs
@@ -14,7 +14,7 @@
 /// which the connection must be established.
 const CONNECT_RETRIES: f64 = 20.0;
 
-/// The name of an ending in the counters.
+/// The name of a leg's outcome in the counters.
 fn outcome_name(outcome: LegOutcome) -> &'static str {
     match outcome {
         LegOutcome::Served => "served",
@@ -106,7 +106,7 @@
         allowed
     }
 
-    /// For each location, the legs at its servers and the weight of its ready servers.
+    /// For each zone, the legs at its servers and the weight of its ready servers.
     fn load_by_zone(&self) -> Vec<ZoneLoad> {
         let mut zone_loads =
             vec![ZoneLoad { connections: 0, ready_weight: 0.0 }; self.names.zones.len().max(1)];
--- a/crates/dewhead-proxy/src/reducer/shutdown.rs
+++ b/crates/dewhead-proxy/src/reducer/shutdown.rs
@@ -9,7 +9,7 @@
 /// seconds after the stop was requested.
 const MAX_STOP_WAIT_SECONDS: f64 = 3.0;
 /// In seconds after the stop time: when every waiting client has its answer, when all established clients are moved, and
-/// when the process exits.
+/// when the process exits. A retirement has its own time in place of the stop time: its spread plus the longest guard time.
 const ANSWERS_DUE_AFTER_SECONDS: f64 = 0.4;
 const FINAL_MOVES_AFTER_SECONDS: f64 = 0.45;
 const EXIT_AFTER_SECONDS: f64 = 0.6;
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -14,8 +14,8 @@
 /// Discovery writes at least every two seconds; a watch that delivers no line for this many seconds is treated as lost. A
 /// change must be in use six seconds after discovery has it, so two attempts must fit into that time.
 const WATCH_SILENCE_TIMEOUT_SECONDS: f64 = 2.6;
-/// Time for the first line after the request, in seconds. The agent answers at once or is absent; an overloaded discovery
-/// answers within two seconds, and a shorter time-out would waste the work that it has begun.
+/// Time for the first line after the request, in seconds. The local agent of discovery answers at once or is absent; an
+/// overloaded discovery answers within two seconds, and a shorter time-out would waste the work that it has begun.
 const WATCH_OPEN_TIMEOUT_SECONDS: f64 = 2.2;
 /// A first line may take `WATCH_SILENCE_TIMEOUT_SECONDS` times the number of failed attempts, at least once and at most
 /// this many times that, as a long list may arrive slowly.
