--- a/crates/dewhead-proxy/src/transient.rs
+++ b/crates/dewhead-proxy/src/transient.rs
@@ -8,7 +8,8 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 const MAX_ATTEMPTS: u32 = 50;
 
-/// Whether the error means that this machine is short of a resource, and says nothing about the object of the call.
+/// Whether the error is due to a shortage of resources on this machine, or to a signal, and not to the file, socket or
+/// address that the call is about.
 pub fn is_transient(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(
@@ -25,8 +26,8 @@
     )
 }
 
-/// Whether a file or an address may become available shortly: another process is about to release it, or a disk error occurred
-/// once.
+/// Whether a file or an address may become available shortly: another process is about to release it, or a disk error
+/// occurred once.
 fn is_retryable(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     is_transient(error) || matches!(errno, Some(Errno::IO | Errno::ADDRINUSE))
--- a/crates/dewhead-proxy/tests/guard.rs
+++ b/crates/dewhead-proxy/tests/guard.rs
@@ -1,7 +1,7 @@
 //! The guard detects each violation, and allows everything else.
 
 use dewhead::types::{Idempotency, RepeatScope};
-use dewhead_proxy::guard::cold_start::{ColdStartLimit, LocationLoad};
+use dewhead_proxy::guard::cold_start::{ColdStartLimit, ZoneLoad};
 use dewhead_proxy::guard::{Guard, PendingReply, RepeatFacts, SendFacts, SentAttempt, Violation};
 use dewhead_startup::SlowStartSettings;
 
@@ -12,7 +12,14 @@
 
 /// The facts before a repeat at `target`, after an attempt that may have run.
 fn repeat_facts(effect: Idempotency, may_have_run: Option<SentAttempt>, target: SentAttempt) -> RepeatFacts {
-    RepeatFacts { effect, repeat_window: 2.0, attempts_out: 0, two_at_once: false, may_have_run, target }
+    RepeatFacts {
+        idempotency: effect,
+        repeat_window: 2.0,
+        open_attempts: 0,
+        two_at_once: false,
+        may_have_run,
+        target,
+    }
 }
 
 #[test]
@@ -66,7 +73,7 @@
         (Idempotency::Referenced(RepeatScope::All), true, false),
     ] {
         let facts =
-            RepeatFacts { attempts_out: 1, two_at_once, ..repeat_facts(effect, None, EARLIER_ATTEMPT) };
+            RepeatFacts { open_attempts: 1, two_at_once, ..repeat_facts(effect, None, EARLIER_ATTEMPT) };
         let expected = if allowed { Ok(()) } else { Err(Violation::OverlappingAttempts) };
         assert_eq!(guard.may_repeat(&facts, &"request"), expected, "{effect:?}, two at once: {two_at_once}");
     }
@@ -100,15 +107,15 @@
     let settings = SlowStartSettings {
         cold_share: 0.2,
         warm_after: 10.0,
-        max_capacity_multiple: 2.5,
+        overload_multiple: 2.5,
         window: 2.0,
         proxies: 30.0,
-        agreed_connections: 2000.0,
+        total_quota: 2000.0,
         weights_are_sizes: true,
     };
     let mut limit = ColdStartLimit::new(settings);
     let locations = |connections| {
-        [LocationLoad { connections, ready_weight: 10.0 }, LocationLoad { connections, ready_weight: 10.0 }]
+        [ZoneLoad { connections, ready_weight: 10.0 }, ZoneLoad { connections, ready_weight: 10.0 }]
     };
     limit.observe(&locations(10));
     // The agreed connections give 100 for each unit of weight, and the capacity at this age is 60% of the full one.
