--- a/crates/dewhead-faults-preload/src/hooks.rs
+++ b/crates/dewhead-faults-preload/src/hooks.rs
@@ -7,7 +7,7 @@
 
 #![allow(clippy::missing_safety_doc)]
 
-use dewhead_faults::plan::{Plan, VARIABLE};
+use dewhead_faults::plan::{Plan, ENVIRONMENT_VARIABLE};
 use libc::{c_char, c_int, c_void, iovec, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
@@ -36,7 +36,7 @@
 fn plan() -> &'static Plan {
     static PLAN: OnceLock<Plan> = OnceLock::new();
     PLAN.get_or_init(|| {
-        let told = std::env::var(VARIABLE).unwrap_or_default();
+        let told = std::env::var(ENVIRONMENT_VARIABLE).unwrap_or_default();
         // A plan that can't be read is none: whoever starts the process has parsed it already.
         told.parse().unwrap_or_default()
     })
--- a/crates/dewhead-faults/src/plan.rs
+++ b/crates/dewhead-faults/src/plan.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 
 /// The environment variable that holds a [`Plan`].
-pub const VARIABLE: &str = "DEWHEAD_FAULTS";
+pub const ENVIRONMENT_VARIABLE: &str = "DEWHEAD_FAULTS";
 
 /// A step of the wall clock, as an administrator or a time service makes one. Monotonic clocks do not see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/dewhead-lab/src/commands/capacity.rs
+++ b/crates/dewhead-lab/src/commands/capacity.rs
@@ -1,6 +1,6 @@
 //! `capacity`: the capacity page's table, made of a scale run's results and the operators' targets.
 
-use crate::scale::page;
+use crate::scale::capacity;
 use argh::FromArgs;
 use std::path::PathBuf;
 
@@ -17,10 +17,10 @@
 }
 
 impl Capacity {
-    pub fn carry_out(&self) -> Result<bool, String> {
+    pub fn execute(&self) -> Result<bool, String> {
         let read =
             |path: &PathBuf| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
-        print!("{}", page::table(&read(&self.results)?, &read(&self.targets)?)?);
+        print!("{}", capacity::capacity_table(&read(&self.results)?, &read(&self.targets)?)?);
         Ok(true)
     }
 }
--- a/crates/dewhead-lab/src/commands/compare.rs
+++ b/crates/dewhead-lab/src/commands/compare.rs
@@ -27,7 +27,7 @@
 type Figures = Vec<(String, u64, f64, f64, usize)>;
 
 impl Compare {
-    pub fn carry_out(&self) -> Result<bool, String> {
+    pub fn execute(&self) -> Result<bool, String> {
         if self.files.is_empty() {
             return Err("compare: no experiment's file is named".into());
         }
--- a/crates/dewhead-lab/src/commands/demo.rs
+++ b/crates/dewhead-lab/src/commands/demo.rs
@@ -117,7 +117,7 @@
 }
 
 impl Demo {
-    pub fn carry_out(&self) -> Result<bool, String> {
+    pub fn execute(&self) -> Result<bool, String> {
         if !(5.0..=3600.0).contains(&self.seconds) {
             return Err("--seconds: must be from 5 to 3600".into());
         }
--- a/crates/dewhead-lab/src/commands/hunt.rs
+++ b/crates/dewhead-lab/src/commands/hunt.rs
@@ -33,7 +33,7 @@
 }
 
 impl Hunt {
-    pub fn carry_out(&self) -> Result<bool, String> {
+    pub fn execute(&self) -> Result<bool, String> {
         let base = match &self.base {
             Some(path) => runs::read(path)?,
             None => Experiment::default(),
--- a/crates/dewhead-lab/src/commands/mod.rs
+++ b/crates/dewhead-lab/src/commands/mod.rs
@@ -3,15 +3,15 @@
 mod capacity;
 mod compare;
 mod demo;
-mod hollow;
 mod hunt;
-mod kinds;
 mod replay;
 mod report;
 mod run;
 mod scale;
 mod soak;
+mod stub_proxies;
 mod table;
+mod trouble_kinds;
 
 use argh::FromArgs;
 
@@ -30,31 +30,31 @@
     Demo(demo::Demo),
     Replay(replay::Replay),
     Table(table::Table),
-    Kinds(kinds::Kinds),
+    TroubleKinds(trouble_kinds::TroubleKinds),
     Report(report::Report),
     Hunt(hunt::Hunt),
     Scale(scale::Scale),
     Soak(soak::Soak),
     Capacity(capacity::Capacity),
-    Hollow(hollow::Hollow),
+    StubProxies(stub_proxies::StubProxies),
 }
 
 /// Runs the program; what it returns is the exit code.
-pub fn carry_out() -> i32 {
+pub fn run_command_line() -> i32 {
     let line: Line = argh::from_env();
     let outcome = match line.command {
-        Command::Run(run) => run.carry_out(),
-        Command::Compare(compare) => compare.carry_out(),
-        Command::Demo(demo) => demo.carry_out(),
-        Command::Replay(replay) => replay.carry_out(),
-        Command::Table(table) => table.carry_out(),
-        Command::Kinds(kinds) => kinds.carry_out(),
-        Command::Report(report) => report.carry_out(),
-        Command::Hunt(hunt) => hunt.carry_out(),
-        Command::Soak(soak) => soak.carry_out(),
-        Command::Scale(scale) => scale.carry_out(),
-        Command::Capacity(capacity) => capacity.carry_out(),
-        Command::Hollow(hollow) => hollow.carry_out(),
+        Command::Run(run) => run.execute(),
+        Command::Compare(compare) => compare.execute(),
+        Command::Demo(demo) => demo.execute(),
+        Command::Replay(replay) => replay.execute(),
+        Command::Table(table) => table.execute(),
+        Command::TroubleKinds(trouble_kinds) => trouble_kinds.execute(),
+        Command::Report(report) => report.execute(),
+        Command::Hunt(hunt) => hunt.execute(),
+        Command::Soak(soak) => soak.execute(),
+        Command::Scale(scale) => scale.execute(),
+        Command::Capacity(capacity) => capacity.execute(),
+        Command::StubProxies(stub_proxies) => stub_proxies.execute(),
     };
     match outcome {
         Ok(true) => 0,
--- a/crates/dewhead-lab/src/commands/replay.rs
+++ b/crates/dewhead-lab/src/commands/replay.rs
@@ -1,6 +1,6 @@
 //! `replay`: one run again, with all that was seen of it.
 
-use super::run::tell;
+use super::run::print_run;
 use crate::runs::{self, Task};
 use argh::FromArgs;
 use std::path::PathBuf;
@@ -24,12 +24,12 @@
 }
 
 impl Replay {
-    pub fn carry_out(&self) -> Result<bool, String> {
+    pub fn execute(&self) -> Result<bool, String> {
         let of = runs::read(&self.file)?;
         let points = of.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
         let (point, of) = points.get(self.point).ok_or("--point: the matrix has fewer points")?.clone();
         let played = runs::play(&Task { point, of, seed: self.seed, who: runs::who(&self.who)? });
-        tell(&played);
+        print_run(&played);
         for (at, what) in &played.marks {
             println!("{at:>10.3}  {what}");
         }
--- a/crates/dewhead-lab/src/commands/report.rs
+++ b/crates/dewhead-lab/src/commands/report.rs
@@ -14,7 +14,7 @@
 }
 
 impl Report {
-    pub fn carry_out(&self) -> Result<bool, String> {
+    pub fn execute(&self) -> Result<bool, String> {
         let path = self.dir.join("runs.jsonl");
         let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         let runs: Vec<Run> = text
--- a/crates/dewhead-lab/src/commands/run.rs
+++ b/crates/dewhead-lab/src/commands/run.rs
@@ -42,7 +42,7 @@
 }
 
 impl Run {
-    pub fn carry_out(&self) -> Result<bool, String> {
+    pub fn execute(&self) -> Result<bool, String> {
         let of = runs::read(&self.file)?;
         let points = of.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
         let seeds = self.seeds.as_deref().map_or(Ok(of.seeds.clone()), runs::seeds)?;
@@ -63,7 +63,7 @@
         }
         if !self.quiet {
             println!("{}: {}", of.name, of.description);
-            played.iter().for_each(tell);
+            played.iter().for_each(print_run);
         }
         let file = self.file.display().to_string();
         for one in &played {
@@ -105,7 +105,7 @@
 }
 
 /// A run in one line.
-pub fn tell(one: &Played) {
+pub fn print_run(one: &Played) {
     let (o, c) = (&one.outcome, &one.outcome.counts);
     let point = if one.point.is_empty() { String::new() } else { format!("  [{}]", one.point) };
     println!(
--- a/crates/dewhead-lab/src/commands/scale.rs
+++ b/crates/dewhead-lab/src/commands/scale.rs
@@ -2,7 +2,7 @@
 
 use crate::scale::fit;
 use crate::scale::plan::Plan;
-use crate::scale::run::{run, Told};
+use crate::scale::run::{run_point, RunResult};
 use argh::FromArgs;
 use std::io::Write;
 use std::path::PathBuf;
@@ -23,13 +23,13 @@
 }
 
 impl Scale {
-    pub fn carry_out(&self) -> Result<bool, String> {
+    pub fn execute(&self) -> Result<bool, String> {
         let named = |e: String| format!("{}: {e}", self.file.display());
         let text = std::fs::read_to_string(&self.file).map_err(|e| named(e.to_string()))?;
-        let plan = Plan::read(&text).map_err(named)?;
+        let plan = Plan::parse(&text).map_err(named)?;
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
         let proxy = self.proxy.clone().unwrap_or_else(|| program.with_file_name("dewhead"));
-        if plan.real > 0 && !proxy.is_file() {
+        if plan.real_proxies > 0 && !proxy.is_file() {
             return Err(format!(
                 "{}: there is no such program; build it, or name it with --proxy",
                 proxy.display()
@@ -45,18 +45,18 @@
         }
         let runs = plan.runs();
         println!("{}: {} runs of {} s", plan.name, runs.len(), plan.seconds);
-        let mut told: Vec<Told> = Vec::new();
+        let mut told: Vec<RunResult> = Vec::new();
         for (at, (point, trouble)) in runs.iter().enumerate() {
-            let sizes = (plan.seconds, plan.processes, plan.real);
-            let one = run(*point, *trouble, sizes, (&program, &proxy), &stopped)?;
-            println!("{:3} {}", at + 1, fit::line(&one));
+            let sizes = (plan.seconds, plan.processes, plan.real_proxies);
+            let one = run_point(*point, *trouble, sizes, (&program, &proxy), &stopped)?;
+            println!("{:3} {}", at + 1, fit::summary(&one));
             if let Some(out) = &mut out {
                 let line = serde_json::to_string(&one).map_err(|e| e.to_string())?;
                 writeln!(out, "{line}").map_err(|e| e.to_string())?;
             }
             told.push(one);
         }
-        let sound = fit::report(&told);
+        let sound = fit::print_report(&told);
         if told.iter().any(|t| t.late) {
             println!("runs marked late tell little of times: give the machine to them alone");
         }
--- a/crates/dewhead-lab/src/commands/soak.rs
+++ b/crates/dewhead-lab/src/commands/soak.rs
@@ -35,7 +35,7 @@
 }
 
 impl Soak {
-    pub fn carry_out(&self) -> Result<bool, String> {
+    pub fn execute(&self) -> Result<bool, String> {
         let size = Size { proxies: self.proxies, nodes: self.nodes, seconds: self.seconds };
         let days: Vec<Day> =
             runs::seeds(&self.seeds)?.into_iter().map(|seed| Day::drawn(size, seed)).collect();
@@ -52,7 +52,7 @@
         let mut sound = true;
         for day in &days {
             let verdict = day.play(&proxy, &library, &logs.join(day.seed.to_string()))?;
-            tell(&verdict);
+            print_verdict(&verdict);
             sound &= verdict.is_sound();
         }
         if self.logs.is_none() {
@@ -63,7 +63,7 @@
     }
 }
 
-fn tell(verdict: &Verdict) {
+fn print_verdict(verdict: &Verdict) {
     let late = if verdict.is_late() { "  LATE, says little" } else { "" };
     println!(
         "seed {:>3}{late}  service {:.3}  completed {}  unanswered {}  breaches {}  violations and panics {}  lab late {:.3} s  \
--- a/crates/dewhead-lab/src/commands/table.rs
+++ b/crates/dewhead-lab/src/commands/table.rs
@@ -18,7 +18,7 @@
 }
 
 impl Table {
-    pub fn carry_out(&self) -> Result<bool, String> {
+    pub fn execute(&self) -> Result<bool, String> {
         let seeds = runs::seeds(&self.seeds)?;
         let names: Vec<&str> =
             std::iter::once("dewhead").chain(policy::ALL.iter().map(|(n, _)| *n)).collect();
--- a/crates/dewhead-lab/src/commands/kinds.rs
+++ b/crates/dewhead-lab/src/commands/trouble_kinds.rs
@@ -6,10 +6,10 @@
 /// List the kinds of trouble that an experiment can name.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "kinds")]
-pub struct Kinds {}
+pub struct TroubleKinds {}
 
-impl Kinds {
-    pub fn carry_out(&self) -> Result<bool, String> {
+impl TroubleKinds {
+    pub fn execute(&self) -> Result<bool, String> {
         for kind in TROUBLE_KINDS {
             println!("{:<18} {}", kind.name, kind.description);
         }
--- a/crates/dewhead-lab/src/main.rs
+++ b/crates/dewhead-lab/src/main.rs
@@ -1,3 +1,3 @@
 fn main() {
-    std::process::exit(dewhead_lab::commands::carry_out());
+    std::process::exit(dewhead_lab::commands::run_command_line());
 }
--- a/crates/dewhead-lab/src/scale/standin.rs
+++ b/crates/dewhead-lab/src/scale/fake_discovery.rs
@@ -1,7 +1,7 @@
 //! The stand-in for discovery, by its published pages: whoever follows is told a whole list or what changed since, then
 //! each change as it comes, and an empty line every two seconds. It counts what it writes, and its thread's time.
 
-use super::{thread_time, Clock};
+use super::{thread_cpu_time, Clock};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
 use serde::Serialize;
@@ -21,39 +21,39 @@
 const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// What it is asked for.
-pub enum Ask {
+pub enum DiscoveryCommand {
     /// Changes of the list by the second from now on.
-    Change(f64),
+    SetChangeRate(f64),
     /// Answers nobody until so long from now.
-    Away(f64),
+    Suspend(f64),
     /// Counts from nothing.
-    Reset,
+    ResetCounts,
     /// Tells what was counted.
-    Told(Sender<Counts>),
+    ReportCounts(Sender<DiscoveryCounts>),
 }
 
 #[derive(Clone, Default, Debug, Serialize)]
-pub struct Counts {
+pub struct DiscoveryCounts {
     /// Calls that came, whole lists and lists of changes told to them.
-    pub calls: u64,
-    pub whole: u64,
+    pub watch_requests: u64,
+    pub full_lists: u64,
     /// Lines and bytes written, by the listener that the follower came through.
     pub lines: [u64; 2],
     pub bytes: [u64; 2],
-    pub beats: u64,
+    pub heartbeats: u64,
     /// Times that a line was put into words, and entries in them.
-    pub encoded: u64,
-    pub entries: u64,
-    pub dropped: u64,
-    pub followers: [u64; 2],
+    pub lines_encoded: u64,
+    pub entries_encoded: u64,
+    pub dropped_watchers: u64,
+    pub watchers: [u64; 2],
     pub changes: u64,
     /// Processor time of its thread, in seconds.
     pub cpu: f64,
     /// When each version was made, from the first change counted.
-    pub made: Vec<(u64, f64)>,
+    pub publish_times: Vec<(u64, f64)>,
     /// By how much it came late to a change, at the most.
-    pub late: f64,
-    pub unread: usize,
+    pub max_delay: f64,
+    pub unread_bytes: usize,
 }
 
 struct Entry {
@@ -71,9 +71,9 @@
     follows: bool,
 }
 
-pub struct Standin {
-    pub followed: [SocketAddr; 2],
-    asks: Sender<Ask>,
+pub struct FakeDiscovery {
+    pub addresses: [SocketAddr; 2],
+    asks: Sender<DiscoveryCommand>,
     over: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
@@ -85,7 +85,7 @@
     entries: Vec<Entry>,
     version: u64,
     dial: SocketAddr,
-    counts: Counts,
+    counts: DiscoveryCounts,
     rate: f64,
     next_change: f64,
     next_server: usize,
@@ -93,12 +93,12 @@
     clock: Clock,
 }
 
-impl Standin {
+impl FakeDiscovery {
     /// Tells of so many servers, all reached at one address. Versions begin at `version`.
-    pub fn start(servers: usize, dial: SocketAddr) -> io::Result<Standin> {
+    pub fn start(servers: usize, dial: SocketAddr) -> io::Result<FakeDiscovery> {
         let bind = || TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)));
         let mut listeners = [bind()?, bind()?];
-        let followed = [listeners[0].local_addr()?, listeners[1].local_addr()?];
+        let addresses = [listeners[0].local_addr()?, listeners[1].local_addr()?];
         let poll = Poll::new()?;
         for (at, listener) in listeners.iter_mut().enumerate() {
             poll.registry().register(listener, Token(at), Interest::READABLE)?;
@@ -115,7 +115,7 @@
                 entries: (0..servers).map(entry).collect(),
                 version: 1,
                 dial,
-                counts: Counts::default(),
+                counts: DiscoveryCounts::default(),
                 rate: 0.0,
                 next_change: f64::INFINITY,
                 next_server: 0,
@@ -124,22 +124,22 @@
             };
             inner.run(&asked, &ends);
         });
-        Ok(Standin { followed, asks, over, thread: Some(thread) })
+        Ok(FakeDiscovery { addresses, asks, over, thread: Some(thread) })
     }
 
-    pub fn ask(&self, ask: Ask) {
+    pub fn send(&self, ask: DiscoveryCommand) {
         // Its thread ends only with this.
         let _ = self.asks.send(ask);
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> DiscoveryCounts {
         let (told, heard) = std::sync::mpsc::channel();
-        self.ask(Ask::Told(told));
+        self.send(DiscoveryCommand::ReportCounts(told));
         heard.recv().unwrap_or_default()
     }
 }
 
-impl Drop for Standin {
+impl Drop for FakeDiscovery {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -149,10 +149,10 @@
 }
 
 impl Inner {
-    fn run(mut self, asked: &Receiver<Ask>, ends: &AtomicBool) {
+    fn run(mut self, asked: &Receiver<DiscoveryCommand>, ends: &AtomicBool) {
         let mut events = Events::with_capacity(1024);
         let mut next_beat = self.clock.now() + BEAT;
-        let (mut since, mut from) = (thread_time(), thread_time());
+        let (mut since, mut from) = (thread_cpu_time(), thread_cpu_time());
         while !ends.load(Ordering::Relaxed) {
             let due = next_beat.min(self.next_change) - self.clock.now();
             let _ = self.poll.poll(&mut events, Some(Duration::from_secs_f64(due.clamp(0.0, 0.02))));
@@ -164,7 +164,7 @@
             }
             let now = self.clock.now();
             while self.next_change <= now {
-                self.counts.late = self.counts.late.max(now - self.next_change);
+                self.counts.max_delay = self.counts.max_delay.max(now - self.next_change);
                 self.next_change += 1.0 / self.rate;
                 self.change(now);
             }
@@ -175,25 +175,25 @@
             for ask in asked.try_iter() {
                 let now = self.clock.now();
                 match ask {
-                    Ask::Change(rate) => {
+                    DiscoveryCommand::SetChangeRate(rate) => {
                         self.rate = rate;
                         self.next_change = if rate > 0.0 { now + 1.0 / rate } else { f64::INFINITY };
                     }
-                    Ask::Away(seconds) => {
+                    DiscoveryCommand::Suspend(seconds) => {
                         self.away_until = now + seconds;
                         // Its watches end with it.
                         let all: Vec<usize> = self.followers.iter().map(|(at, _)| at).collect();
                         all.into_iter().for_each(|at| self.close(at));
                     }
-                    Ask::Reset => {
-                        let followers = self.counts.followers;
-                        self.counts = Counts { followers, ..Counts::default() };
-                        from = thread_time();
+                    DiscoveryCommand::ResetCounts => {
+                        let watchers = self.counts.watchers;
+                        self.counts = DiscoveryCounts { watchers, ..DiscoveryCounts::default() };
+                        from = thread_cpu_time();
                     }
-                    Ask::Told(to) => {
-                        since = thread_time();
+                    DiscoveryCommand::ReportCounts(to) => {
+                        since = thread_cpu_time();
                         self.counts.cpu = since - from;
-                        self.counts.unread = self.followers.iter().map(|(_, f)| f.out.len()).sum();
+                        self.counts.unread_bytes = self.followers.iter().map(|(_, f)| f.out.len()).sum();
                         let _ = to.send(self.counts.clone());
                     }
                 }
@@ -209,7 +209,7 @@
             if self.poll.registry().register(&mut socket, Token(slot.key() + 2), interest).is_ok() {
                 let _ = socket.set_nodelay(true);
                 slot.insert(Follower { socket, from, said: Vec::new(), out: Vec::new(), follows: false });
-                self.counts.followers[from] += 1;
+                self.counts.watchers[from] += 1;
             }
         }
     }
@@ -217,7 +217,7 @@
     fn close(&mut self, at: usize) {
         if let Some(mut gone) = self.followers.try_remove(at) {
             let _ = self.poll.registry().deregister(&mut gone.socket);
-            self.counts.followers[gone.from] -= 1;
+            self.counts.watchers[gone.from] -= 1;
         }
     }
 
@@ -249,7 +249,7 @@
     }
 
     fn asked(&mut self, at: usize) {
-        self.counts.calls += 1;
+        self.counts.watch_requests += 1;
         let said = std::mem::take(&mut self.followers[at].said);
         if self.clock.now() < self.away_until {
             self.write(at, b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
@@ -259,7 +259,7 @@
         let since = text.split("since=").nth(1).and_then(|s| s.split([' ', '&']).next()?.parse::<u64>().ok());
         let since = since.unwrap_or(0);
         let whole = since == 0 || since > self.version;
-        self.counts.whole += u64::from(whole);
+        self.counts.full_lists += u64::from(whole);
         let line = self.line(since, whole);
         self.write(at, HEAD.as_bytes());
         self.tell(at, &line);
@@ -279,8 +279,8 @@
                        "share": 1.0, "born_ms": e.born})
             })
             .collect();
-        self.counts.encoded += 1;
-        self.counts.entries += hosts.len() as u64;
+        self.counts.lines_encoded += 1;
+        self.counts.entries_encoded += hosts.len() as u64;
         let mut line = json!({"seq": self.version, "whole": whole, "hosts": hosts}).to_string();
         line.push('\n');
         Rc::new(format!("{:x}\r\n{line}\r\n", line.len()).into_bytes())
@@ -298,7 +298,7 @@
             entry.born = (now * 1000.0) as u64;
         }
         self.counts.changes += 1;
-        self.counts.made.push((self.version, now));
+        self.counts.publish_times.push((self.version, now));
         let line = self.line(self.version - 1, false);
         let all: Vec<usize> = self.followers.iter().filter(|(_, f)| f.follows).map(|(at, _)| at).collect();
         all.into_iter().for_each(|at| self.tell(at, &line));
@@ -307,7 +307,7 @@
     fn beat(&mut self) {
         let all: Vec<usize> = self.followers.iter().filter(|(_, f)| f.follows).map(|(at, _)| at).collect();
         for at in all {
-            self.counts.beats += 1;
+            self.counts.heartbeats += 1;
             self.tell(at, b"1\r\n\n\r\n");
         }
     }
@@ -324,7 +324,7 @@
         self.counts.bytes[follower.from] += bytes.len() as u64;
         follower.out.extend_from_slice(bytes);
         if follower.out.len() > MOST_UNREAD {
-            self.counts.dropped += 1;
+            self.counts.dropped_watchers += 1;
             return self.close(at);
         }
         self.flush(at);
--- a/crates/dewhead-lab/src/scale/plan.rs
+++ b/crates/dewhead-lab/src/scale/plan.rs
@@ -10,11 +10,14 @@
     pub proxies: usize,
     pub servers: usize,
     /// Changes of the list by the second, one server each.
-    pub changes: f64,
+    #[serde(rename = "changes")]
+    pub changes_per_second: f64,
     /// Calls by the second at each proxy.
-    pub picks: f64,
+    #[serde(rename = "picks")]
+    pub calls_per_second: f64,
     /// Connections that stand at each proxy.
-    pub standing: usize,
+    #[serde(rename = "standing")]
+    pub open_connections: usize,
 }
 
 /// What is swept, one at a time: the others stay as in the base.
@@ -23,9 +26,12 @@
 pub struct Sweep {
     pub proxies: Vec<usize>,
     pub servers: Vec<usize>,
-    pub changes: Vec<f64>,
-    pub picks: Vec<f64>,
-    pub standing: Vec<usize>,
+    #[serde(rename = "changes")]
+    pub changes_per_second: Vec<f64>,
+    #[serde(rename = "picks")]
+    pub calls_per_second: Vec<f64>,
+    #[serde(rename = "standing")]
+    pub open_connections: Vec<usize>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
@@ -48,18 +54,21 @@
     pub seconds: f64,
     /// Each size is run so many times.
     #[serde(default = "once")]
-    pub times: usize,
+    #[serde(rename = "times")]
+    pub repeats: usize,
     /// Processes that hollow proxies share.
     pub processes: usize,
     /// Real processes beside them, in every run.
     #[serde(default)]
-    pub real: usize,
+    #[serde(rename = "real")]
+    pub real_proxies: usize,
     pub base: Point,
     #[serde(default)]
     pub sweep: Sweep,
     /// Further sizes, such as pairs of what is swept.
     #[serde(default)]
-    pub point: Vec<Point>,
+    #[serde(rename = "point")]
+    pub points: Vec<Point>,
     /// The size that is left out of the fit and predicted.
     pub largest: Point,
     #[serde(default)]
@@ -76,7 +85,7 @@
 
 impl Plan {
     /// Reads one from TOML; a fault is one line that names the key.
-    pub fn read(text: &str) -> Result<Plan, String> {
+    pub fn parse(text: &str) -> Result<Plan, String> {
         let table = text.parse::<toml::Table>().map_err(|e| e.to_string().trim().replace('\n', " "))?;
         let plan: Plan = serde_path_to_error::deserialize(toml::Value::Table(table))
             .map_err(|e| format!("key '{}': {}", e.path(), e.inner().message()))?;
@@ -92,10 +101,10 @@
         if !(1..=64).contains(&self.processes) {
             return wrong("processes", "is not between 1 and 64");
         }
-        if self.real + self.processes > 300 {
+        if self.real_proxies + self.processes > 300 {
             return wrong("real", "with 'processes' is over 300");
         }
-        if !(1..=100).contains(&self.times) {
+        if !(1..=100).contains(&self.repeats) {
             return wrong("times", "is not between 1 and 100");
         }
         for (key, point) in self.named() {
@@ -105,7 +114,9 @@
             if point.servers < 1 || point.servers > 20_000 {
                 return wrong(&format!("{key}.servers"), "is not between 1 and 20000");
             }
-            if !(0.0..=1000.0).contains(&point.changes) || !(0.0..=1000.0).contains(&point.picks) {
+            if !(0.0..=1000.0).contains(&point.changes_per_second)
+                || !(0.0..=1000.0).contains(&point.calls_per_second)
+            {
                 return wrong(&format!("{key}.changes"), "or 'picks' is not between 0 and 1000");
             }
             let room = machine_memory() / 2.0;
@@ -122,7 +133,7 @@
     fn named(&self) -> Vec<(&'static str, Point)> {
         let mut all = vec![("base", self.base), ("largest", self.largest)];
         all.extend(self.swept().into_iter().map(|p| ("sweep", p)));
-        all.extend(self.point.iter().map(|p| ("point", *p)));
+        all.extend(self.points.iter().map(|p| ("point", *p)));
         all
     }
 
@@ -131,9 +142,9 @@
         let mut all = Vec::new();
         all.extend(sweep.proxies.iter().map(|x| Point { proxies: *x, ..base }));
         all.extend(sweep.servers.iter().map(|x| Point { servers: *x, ..base }));
-        all.extend(sweep.changes.iter().map(|x| Point { changes: *x, ..base }));
-        all.extend(sweep.picks.iter().map(|x| Point { picks: *x, ..base }));
-        all.extend(sweep.standing.iter().map(|x| Point { standing: *x, ..base }));
+        all.extend(sweep.changes_per_second.iter().map(|x| Point { changes_per_second: *x, ..base }));
+        all.extend(sweep.calls_per_second.iter().map(|x| Point { calls_per_second: *x, ..base }));
+        all.extend(sweep.open_connections.iter().map(|x| Point { open_connections: *x, ..base }));
         all
     }
 
@@ -141,7 +152,7 @@
     pub fn runs(&self) -> Vec<(Point, Option<Trouble>)> {
         let mut sizes = vec![self.base];
         sizes.extend(self.swept());
-        sizes.extend(&self.point);
+        sizes.extend(&self.points);
         let mut once: Vec<Point> = Vec::new();
         for size in sizes {
             if !once.contains(&size) && size != self.largest {
@@ -149,7 +160,7 @@
             }
         }
         once.push(self.largest);
-        let sizes = once.into_iter().flat_map(|size| std::iter::repeat_n((size, None), self.times));
+        let sizes = once.into_iter().flat_map(|size| std::iter::repeat_n((size, None), self.repeats));
         sizes.chain(self.troubles.iter().map(|t| (self.base, Some(*t)))).collect()
     }
 }
--- a/crates/dewhead-lab/src/scale/real.rs
+++ b/crates/dewhead-lab/src/scale/real_proxy.rs
@@ -1,7 +1,7 @@
 //! Real `dewhead serve` processes beside the hollow ones, with real clients, and the servers that both are told of.
 
-use super::hollow::told;
-use super::{memory, process_time};
+use super::stub_proxy::scale_settings;
+use super::{process_cpu_time, resident_memory};
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,16 +12,16 @@
 use std::time::{Duration, Instant};
 
 /// A server that takes every connection up and gives each line back.
-pub struct Servers {
-    pub at: SocketAddr,
+pub struct EchoServer {
+    pub address: SocketAddr,
     over: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Servers {
-    pub fn start() -> std::io::Result<Servers> {
+impl EchoServer {
+    pub fn start() -> std::io::Result<EchoServer> {
         let mut listener = mio::net::TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let over = Arc::new(AtomicBool::new(false));
         let ends = over.clone();
         let mut poll = mio::Poll::new()?;
@@ -58,11 +58,11 @@
                 }
             }
         });
-        Ok(Servers { at, over, thread: Some(thread) })
+        Ok(EchoServer { address, over, thread: Some(thread) })
     }
 }
 
-impl Drop for Servers {
+impl Drop for EchoServer {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -72,38 +72,39 @@
 }
 
 /// One process, ended with this.
-pub struct Real {
+pub struct RealProxy {
     child: Child,
-    at: SocketAddr,
+    address: SocketAddr,
     config: PathBuf,
     clients: Vec<TcpStream>,
     next: u64,
     opening: String,
 }
 
-impl Real {
+impl RealProxy {
     pub fn start(
         program: &Path,
         position: usize,
-        siblings: usize,
+        total_proxies: usize,
         discovery: SocketAddr,
         standing: usize,
-    ) -> Result<Real, String> {
-        let settings = told(position, siblings)?;
+    ) -> Result<RealProxy, String> {
+        let settings = scale_settings(position, total_proxies)?;
         let name = |list: &str| settings[list][0]["name"].as_str().unwrap_or("").to_owned();
         let opening = format!("c={},t={},d=4000", name("trafficTypes"), name("tenants"));
         // A port that is free now; another may take it before the process has, and then it says so and ends.
-        let at = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
+        let address =
+            TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
         let config =
             std::env::temp_dir().join(format!("dewhead-scale-{}-{position}.json", std::process::id()));
-        let written = json!({"name": format!("real-{position}"), "listen": at.to_string(), "discovery": discovery.to_string(),
+        let written = json!({"name": format!("real-{position}"), "listen": address.to_string(), "discovery": discovery.to_string(),
             "seed": format!("{position:016x}"), "settings": settings, "limits": {"sockets": 2 * standing + 256}});
         std::fs::write(&config, written.to_string()).map_err(|e| e.to_string())?;
         let mut command = Command::new(program);
         command.args(["serve", "--config"]).arg(&config).env("RUST_LOG", "error");
         command.stdin(Stdio::null()).stdout(Stdio::null());
         let child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
-        let mut real = Real { child, at, config, clients: Vec::new(), next: 0, opening };
+        let mut real = RealProxy { child, address, config, clients: Vec::new(), next: 0, opening };
         let began = Instant::now();
         while !real.answers() {
             if began.elapsed() > Duration::from_secs(10)
@@ -114,13 +115,13 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         for _ in 0..standing {
-            real.call()?;
+            real.open_connection()?;
         }
         Ok(real)
     }
 
     fn answers(&self) -> bool {
-        let Ok(mut socket) = TcpStream::connect(self.at) else { return false };
+        let Ok(mut socket) = TcpStream::connect(self.address) else { return false };
         let _ = socket.set_read_timeout(Some(Duration::from_secs(2)));
         let mut said = String::new();
         socket.write_all(b"PING\r\n").is_ok()
@@ -129,9 +130,9 @@
     }
 
     /// A client comes and stands.
-    pub fn call(&mut self) -> Result<(), String> {
+    pub fn open_connection(&mut self) -> Result<(), String> {
         let fault = |e: std::io::Error| format!("a client of a real proxy: {e}");
-        let mut socket = TcpStream::connect(self.at).map_err(fault)?;
+        let mut socket = TcpStream::connect(self.address).map_err(fault)?;
         socket.set_read_timeout(Some(Duration::from_secs(5))).map_err(fault)?;
         self.next += 1;
         write!(socket, "OPEN {:016x} {:016x} {}\r\n", self.next, self.next, self.opening).map_err(fault)?;
@@ -144,23 +145,23 @@
     }
 
     /// The oldest client leaves and a new one comes.
-    pub fn pick(&mut self) -> Result<(), String> {
+    pub fn replace_oldest_connection(&mut self) -> Result<(), String> {
         if !self.clients.is_empty() {
             drop(self.clients.remove(0));
         }
-        self.call()
+        self.open_connection()
     }
 
-    pub fn time(&self) -> f64 {
-        process_time(self.child.id())
+    pub fn cpu_time(&self) -> f64 {
+        process_cpu_time(self.child.id())
     }
 
-    pub fn memory(&self) -> f64 {
-        memory(self.child.id())
+    pub fn resident_memory(&self) -> f64 {
+        resident_memory(self.child.id())
     }
 }
 
-impl Drop for Real {
+impl Drop for RealProxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/dewhead-lab/src/scale/hollow.rs
+++ b/crates/dewhead-lab/src/scale/stub_proxy.rs
@@ -1,7 +1,7 @@
 //! Hollow proxies: the shipped control code, each over a connection of its own to discovery, with made-up clients and
 //! servers. Many share this process; what they cost is the processor time of its one thread inside their steps.
 
-use super::{memory, thread_time, Clock};
+use super::{resident_memory, thread_cpu_time, Clock};
 use dewhead_proxy::reducer::{CloseKind, Effect, Endpoint, Event, Reducer};
 use dewhead_proxy::wire::http;
 use dewhead_startup::Startup;
@@ -21,50 +21,67 @@
 const LOOK: f64 = 0.01;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Spec {
+pub struct StubSpec {
     pub proxies: usize,
     /// The number of the first, and how many there are in all processes.
-    pub first: usize,
-    pub siblings: usize,
+    #[serde(rename = "first")]
+    pub first_position: usize,
+    #[serde(rename = "siblings")]
+    pub total_proxies: usize,
     pub discovery: SocketAddr,
-    pub picks: f64,
-    pub standing: usize,
+    #[serde(rename = "picks")]
+    pub calls_per_second: f64,
+    #[serde(rename = "standing")]
+    pub open_connections: usize,
 }
 
 /// What a process has counted, since it was told to go where nothing else is said.
 #[derive(Clone, Default, Debug, Serialize, Deserialize)]
-pub struct Counts {
+pub struct StubCounts {
     pub proxies: usize,
     /// Bytes that came from discovery and processor time in steps that took them up to the first whole list, over all.
-    pub first_bytes: u64,
-    pub first_cpu: f64,
+    #[serde(rename = "first_bytes")]
+    pub first_list_bytes: u64,
+    #[serde(rename = "first_cpu")]
+    pub first_list_cpu: f64,
     /// Bytes held: before any proxy, once all hold a list, and with their connections.
-    pub empty: f64,
-    pub listed: f64,
-    pub stand: f64,
-    pub calls: u64,
-    pub bytes: u64,
+    #[serde(rename = "empty")]
+    pub memory_before_proxies: f64,
+    #[serde(rename = "listed")]
+    pub memory_with_lists: f64,
+    #[serde(rename = "stand")]
+    pub memory_with_connections: f64,
+    #[serde(rename = "calls")]
+    pub watch_requests: u64,
+    #[serde(rename = "bytes")]
+    pub watch_bytes: u64,
     /// Processor time in steps that took up what discovery wrote, in ticks, and in all that calls need, in seconds.
     pub watch_cpu: f64,
-    pub tick_cpu: f64,
-    pub pick_cpu: f64,
+    #[serde(rename = "tick_cpu")]
+    pub timer_cpu: f64,
+    #[serde(rename = "pick_cpu")]
+    pub call_cpu: f64,
     pub steps: u64,
-    pub picks: u64,
+    #[serde(rename = "picks")]
+    pub client_calls: u64,
     pub refused: u64,
     pub seconds: f64,
     /// By how much it came late to a look at its timers, at the most.
-    pub late: f64,
+    #[serde(rename = "late")]
+    pub max_delay: f64,
     /// When the last proxy here held each version.
-    pub held: Vec<(u64, f64)>,
+    #[serde(rename = "held")]
+    pub version_times: Vec<(u64, f64)>,
     /// When the last of those that started anew held a list again, after they had.
-    pub again: f64,
+    #[serde(rename = "again")]
+    pub max_restart_recovery: f64,
 }
 
 /// The settings of hollow and real proxies alike.
-pub fn told(position: usize, siblings: usize) -> Result<Value, String> {
+pub fn scale_settings(position: usize, total_proxies: usize) -> Result<Value, String> {
     let mut of = Experiment::parse("name = \"scale\"\nabout = \"hollow\"")?;
     of.fleet.zones = vec!["a".into()];
-    of.fleet.proxies = siblings.max(1);
+    of.fleet.proxies = total_proxies.max(1);
     Ok(proxy_settings(&of, position))
 }
 
@@ -82,11 +99,11 @@
 }
 
 struct Process {
-    spec: Spec,
+    spec: StubSpec,
     settings: Value,
     poll: Poll,
     hollows: Vec<Hollow>,
-    counts: Counts,
+    counts: StubCounts,
     held: BTreeMap<u64, (usize, f64)>,
     clock: Clock,
     serial: u64,
@@ -102,7 +119,7 @@
 }
 
 /// Runs until told to stop; `lines` are commands, and what is told goes to standard output.
-pub fn run(spec: Spec) -> Result<(), String> {
+pub fn run_process(spec: StubSpec) -> Result<(), String> {
     let (tell, told_lines) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines() {
@@ -112,14 +129,18 @@
             }
         }
     });
-    let settings = told(0, spec.siblings)?;
+    let settings = scale_settings(0, spec.total_proxies)?;
     let name = |list: &str| settings[list][0]["name"].as_str().unwrap_or("").to_owned();
     let open = format!("c={},t={},d=2000\r\n", name("trafficTypes"), name("tenants"));
     let poll = Poll::new().map_err(|e| e.to_string())?;
     let mut process = Process {
         poll,
         hollows: Vec::new(),
-        counts: Counts { proxies: spec.proxies, empty: memory(std::process::id()), ..Counts::default() },
+        counts: StubCounts {
+            proxies: spec.proxies,
+            memory_before_proxies: resident_memory(std::process::id()),
+            ..StubCounts::default()
+        },
         held: BTreeMap::new(),
         clock: Clock::default(),
         serial: 0,
@@ -146,7 +167,7 @@
             }
             let now = self.clock.now();
             if go.is_some() {
-                self.counts.late = self.counts.late.max(now - looked - LOOK);
+                self.counts.max_delay = self.counts.max_delay.max(now - looked - LOOK);
             }
             looked = now;
             for at in 0..self.hollows.len() {
@@ -155,15 +176,15 @@
                     self.step(at, Event::Tick, For::Tick);
                 }
                 while go.is_some() && self.hollows[at].next_pick <= now {
-                    self.hollows[at].next_pick += 1.0 / self.spec.picks;
+                    self.hollows[at].next_pick += 1.0 / self.spec.calls_per_second;
                     self.pick(at);
                 }
             }
             if !ready && self.hollows.iter().all(|h| h.version > 0) {
                 ready = true;
-                self.counts.first_bytes = self.counts.bytes;
-                self.counts.first_cpu = self.counts.watch_cpu;
-                self.counts.listed = memory(std::process::id());
+                self.counts.first_list_bytes = self.counts.watch_bytes;
+                self.counts.first_list_cpu = self.counts.watch_cpu;
+                self.counts.memory_with_lists = resident_memory(std::process::id());
                 println!("{}", json!({"ready": self.hollows.len()}));
             }
             // A few at a time, so that what discovery writes is not waited for.
@@ -171,14 +192,14 @@
                 filled = true;
                 for at in 0..self.hollows.len() {
                     for _ in 0..20 {
-                        if self.hollows[at].alive.len() < self.spec.standing {
+                        if self.hollows[at].alive.len() < self.spec.open_connections {
                             self.call(at);
                             filled = false;
                         }
                     }
                 }
                 if filled {
-                    self.counts.stand = memory(std::process::id());
+                    self.counts.memory_with_connections = resident_memory(std::process::id());
                     println!("{}", json!({"filled": true}));
                 }
             }
@@ -186,14 +207,14 @@
                 Ok(line) => match line.split_whitespace().collect::<Vec<_>>()[..] {
                     ["go"] => {
                         let kept = self.counts.clone();
-                        self.counts = Counts {
+                        self.counts = StubCounts {
                             proxies: kept.proxies,
-                            first_bytes: kept.first_bytes,
-                            first_cpu: kept.first_cpu,
-                            empty: kept.empty,
-                            listed: kept.listed,
-                            stand: kept.stand,
-                            ..Counts::default()
+                            first_list_bytes: kept.first_list_bytes,
+                            first_list_cpu: kept.first_list_cpu,
+                            memory_before_proxies: kept.memory_before_proxies,
+                            memory_with_lists: kept.memory_with_lists,
+                            memory_with_connections: kept.memory_with_connections,
+                            ..StubCounts::default()
                         };
                         self.held.clear();
                         go = Some(self.clock.now());
@@ -205,7 +226,7 @@
                         self.counts.seconds = go.map_or(0.0, |at| now - at);
                         let all = self.hollows.len();
                         let whole = self.held.iter().filter(|(_, (count, _))| *count == all);
-                        self.counts.held = whole.map(|(version, (_, at))| (*version, *at)).collect();
+                        self.counts.version_times = whole.map(|(version, (_, at))| (*version, *at)).collect();
                         println!("{}", serde_json::to_string(&self.counts).map_err(|e| e.to_string())?);
                         return Ok(());
                     }
@@ -220,12 +241,12 @@
 
     fn make(&mut self, at: usize) -> Result<Hollow, String> {
         let now = self.clock.now();
-        let position = self.spec.first + at;
+        let position = self.spec.first_position + at;
         self.settings["position"] = position.into();
         let startup = Startup::read(&self.settings)?;
         self.serial += 1;
         let seed = u128::from(self.serial) << 32 | position as u128;
-        let most = 2 * self.spec.standing + 256;
+        let most = 2 * self.spec.open_connections + 256;
         let reducer = Reducer::new(now, startup, seed, self.spec.discovery, most, &Value::Null);
         Ok(Hollow {
             reducer,
@@ -245,8 +266,11 @@
         let now = self.clock.now();
         for hollow in &mut self.hollows {
             let part = (hollow.position as f64 * 0.618_034).fract();
-            hollow.next_pick =
-                if self.spec.picks > 0.0 { now + part / self.spec.picks } else { f64::INFINITY };
+            hollow.next_pick = if self.spec.calls_per_second > 0.0 {
+                now + part / self.spec.calls_per_second
+            } else {
+                f64::INFINITY
+            };
         }
     }
 
@@ -266,14 +290,14 @@
             _ => Vec::new(),
         };
         let now = self.clock.now();
-        let before = thread_time();
+        let before = thread_cpu_time();
         self.hollows[at].reducer.step(now, event);
-        let took = thread_time() - before;
+        let took = thread_cpu_time() - before;
         self.counts.steps += 1;
         match what {
             For::Watch => self.counts.watch_cpu += took,
-            For::Tick => self.counts.tick_cpu += took,
-            For::Pick => self.counts.pick_cpu += took,
+            For::Tick => self.counts.timer_cpu += took,
+            For::Pick => self.counts.call_cpu += took,
         }
         self.apply(at, &bytes);
     }
@@ -317,7 +341,7 @@
     }
 
     fn follow(&mut self, at: usize, discovery: SocketAddr, since: u64) {
-        self.counts.calls += 1;
+        self.counts.watch_requests += 1;
         self.hollows[at].link = None;
         let opened = TcpStream::connect(discovery).and_then(|mut socket| {
             let interest = Interest::READABLE | Interest::WRITABLE;
@@ -360,7 +384,7 @@
                     return self.step(at, Event::WatchLost, For::Watch);
                 }
                 Ok(n) => {
-                    self.counts.bytes += n as u64;
+                    self.counts.watch_bytes += n as u64;
                     self.step(at, Event::WatchBytes(&piece[..n]), For::Watch);
                     self.seen(at);
                 }
@@ -382,7 +406,7 @@
             return;
         }
         if hollow.version == 0 {
-            self.counts.again = self.counts.again.max(now - hollow.since);
+            self.counts.max_restart_recovery = self.counts.max_restart_recovery.max(now - hollow.since);
         }
         for held in (hollow.version + 1).max(version.saturating_sub(100))..=version {
             let (count, last) = self.held.entry(held).or_insert((0, now));
@@ -394,8 +418,8 @@
 
     /// The oldest connection ends, where there are enough, and a new client calls.
     fn pick(&mut self, at: usize) {
-        self.counts.picks += 1;
-        while self.hollows[at].alive.len() >= self.spec.standing.max(1) {
+        self.counts.client_calls += 1;
+        while self.hollows[at].alive.len() >= self.spec.open_connections.max(1) {
             let Some((slot, serial)) = self.hollows[at].stands.pop_front() else { break };
             if self.hollows[at].alive.get(&slot) == Some(&serial) {
                 self.step(at, Event::Closed(Endpoint::Client(slot), CloseKind::Graceful), For::Pick);
--- a/crates/dewhead-lab/src/sockets/processes.rs
+++ b/crates/dewhead-lab/src/sockets/processes.rs
@@ -93,7 +93,9 @@
         let mut command = Command::new(&self.programs.proxy);
         command.args(["serve", "--config"]).arg(config).args(more);
         if let Some(faults) = &self.programs.faults {
-            command.env("LD_PRELOAD", &faults.library).env(plan::VARIABLE, faults.plan.to_string());
+            command
+                .env("LD_PRELOAD", &faults.library)
+                .env(plan::ENVIRONMENT_VARIABLE, faults.plan.to_string());
         }
         command
             .stdin(Stdio::null())
--- a/crates/dewhead-lab/tests/scale.rs
+++ b/crates/dewhead-lab/tests/scale.rs
@@ -1,8 +1,8 @@
 //! What the capacity page rests on, counted by work alone: no time, and the same verdict each time. The shipped control code of
 //! some proxies against a list kept here; each claim is shown to fail on a planted fault.
 
-use dewhead_lab::scale::hollow::told;
-use dewhead_lab::scale::{fit, page, plan::Plan};
+use dewhead_lab::scale::stub_proxy::scale_settings;
+use dewhead_lab::scale::{capacity, fit, plan::Plan};
 use dewhead_proxy::reducer::{Effect, Event, Reducer};
 use dewhead_startup::Startup;
 use serde_json::{json, Value};
@@ -61,7 +61,7 @@
     fn new(proxies: usize, servers: usize, fault: Fault) -> Fleet {
         let at = SocketAddr::from(([127, 0, 0, 1], 8500));
         let made = (0..proxies).map(|n| {
-            let startup = Startup::read(&told(n, proxies).unwrap()).unwrap();
+            let startup = Startup::read(&scale_settings(n, proxies).unwrap()).unwrap();
             Reducer::new(1000.0, startup, n as u128, at, 256, &Value::Null)
         });
         let named = (0..servers).map(|n| (format!("s-{n:08x}"), "ready", 1));
@@ -234,7 +234,7 @@
 #[test]
 fn a_plan_is_read_or_its_key_is_named() {
     let text = shipped("scale/fleet.toml");
-    let plan = Plan::read(&text).unwrap();
+    let plan = Plan::parse(&text).unwrap();
     let runs = plan.runs();
     assert!(runs.len() > 20 && runs.iter().filter(|(_, trouble)| trouble.is_some()).count() == 4);
     for (from, to, key) in [
@@ -244,7 +244,7 @@
         ("servers = 3000", "servers = 3000000", "largest.servers"),
         ("troubles = [", "troubles = [\"none-such\", ", "troubles[0]"),
     ] {
-        let fault = Plan::read(&text.replace(from, to)).unwrap_err();
+        let fault = Plan::parse(&text.replace(from, to)).unwrap_err();
         assert!(fault.contains(key) && !fault.contains('\n'), "{to}: {fault}");
     }
 }
@@ -252,7 +252,8 @@
 /// The page's table is the one that the kept results and targets give.
 #[test]
 fn the_page_holds_what_the_kept_results_say() {
-    let table = page::table(&shipped("scale/results.jsonl"), &shipped("scale/targets.toml")).unwrap();
+    let table =
+        capacity::capacity_table(&shipped("scale/results.jsonl"), &shipped("scale/targets.toml")).unwrap();
     let page = shipped("docs/CAPACITY.md");
     for line in table.lines() {
         assert!(page.contains(line), "docs/CAPACITY.md lacks this line of `dewhead-lab capacity`:\n{line}");
@@ -262,22 +263,23 @@
 #[test]
 fn targets_and_results_that_can_not_be_meant_are_named() {
     let (results, targets) = (shipped("scale/results.jsonl"), shipped("scale/targets.toml"));
-    let fault = page::table(&results, &targets.replace("proxies = 7300", "proxies = 0")).unwrap_err();
+    let fault =
+        capacity::capacity_table(&results, &targets.replace("proxies = 7300", "proxies = 0")).unwrap_err();
     assert_eq!(fault, "key 'proxies': is not above 0");
-    let fault = page::table(&results, &targets.replace("zones", "zonen")).unwrap_err();
+    let fault = capacity::capacity_table(&results, &targets.replace("zones", "zonen")).unwrap_err();
     assert!(fault.contains("zonen"), "{fault}");
-    let fault = page::table("{}\nnone\n", &targets).err().unwrap();
+    let fault = capacity::capacity_table("{}\nnone\n", &targets).err().unwrap();
     assert!(fault.starts_with("line "), "{fault}");
 }
 
 /// A line through figures that lie on one gives that line back.
 #[test]
 fn a_fit_gives_a_line_back() {
-    let runs: Vec<_> = page::results(&shipped("scale/results.jsonl")).unwrap();
-    let term = fit::TERMS.iter().find(|t| t.name == "first list, bytes").unwrap();
+    let runs: Vec<_> = capacity::parse_results(&shipped("scale/results.jsonl")).unwrap();
+    let term = fit::COST_MODELS.iter().find(|t| t.name == "first list, bytes").unwrap();
     let mut straight = runs.clone();
-    straight.iter_mut().for_each(|t| t.first_bytes = 7.0 + 3.0 * t.servers);
+    straight.iter_mut().for_each(|t| t.first_list_bytes = 7.0 + 3.0 * t.servers);
     let line = term.fit(straight.iter()).unwrap();
-    assert!((line.begins.0 - 7.0).abs() < 1e-3 && (line.adds[0].0 - 3.0).abs() < 1e-6, "{line:?}");
-    assert!((line.at(&[1000.0]) - 3007.0).abs() < 1e-2);
+    assert!((line.intercept.0 - 7.0).abs() < 1e-3 && (line.slopes[0].0 - 3.0).abs() < 1e-6, "{line:?}");
+    assert!((line.predict(&[1000.0]) - 3007.0).abs() < 1e-2);
 }
--- a/crates/dewhead-proxy/tests/common/loopback.rs
+++ b/crates/dewhead-proxy/tests/common/loopback.rs
@@ -261,7 +261,7 @@
     let built = Command::new(cargo).args(["build", "--locked", "-p", "dewhead-faults-preload"]).status();
     assert!(built.expect("cargo runs").success());
     let library = Path::new(env!("CARGO_BIN_EXE_dewhead")).with_file_name("libdewhead_faults_preload.so");
-    [("LD_PRELOAD", library.display().to_string()), (plan::VARIABLE, plan.to_string())]
+    [("LD_PRELOAD", library.display().to_string()), (plan::ENVIRONMENT_VARIABLE, plan.to_string())]
 }
 
 /// All that still comes, to the end; an end by a reset counts as one.
