--- a/crates/dewhead-lab/src/scale/stub_proxy.rs
+++ b/crates/dewhead-lab/src/scale/stub_proxy.rs
@@ -1,5 +1,5 @@
-//! Hollow proxies: the shipped control code, each over a connection of its own to discovery, with made-up clients and
-//! servers. Many share this process; what they cost is the processor time of its one thread inside their steps.
+//! Stub proxies: each runs the shipped control code over its own connection to discovery, with generated clients and
+//! servers. Many share one process; their cost is the processor time that its single thread spends in their steps.
 
 use super::{resident_memory, thread_cpu_time, Clock};
 use dewhead_proxy::reducer::{CloseKind, Effect, Endpoint, Event, Reducer};
@@ -17,317 +17,354 @@
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::time::Duration;
 
-/// How often timers are looked at, in seconds.
-const LOOK: f64 = 0.01;
+/// Interval at which timers are checked, in seconds.
+const POLL_INTERVAL_SECONDS: f64 = 0.01;
 
+/// What one process of stub proxies runs, passed to it as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StubSpec {
+    /// Number of stub proxies in this process.
     pub proxies: usize,
-    /// The number of the first, and how many there are in all processes.
+    /// Position of the first of them among all proxies.
     #[serde(rename = "first")]
     pub first_position: usize,
+    /// Number of proxies in all processes, real ones included.
     #[serde(rename = "siblings")]
     pub total_proxies: usize,
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
+    /// Calls per second at each proxy.
     #[serde(rename = "picks")]
     pub calls_per_second: f64,
+    /// Connections that stay open at each proxy.
     #[serde(rename = "standing")]
     pub open_connections: usize,
 }
 
-/// What a process has counted, since it was told to go where nothing else is said.
+/// Counts of one process of stub proxies, summed over them. Counting starts at the `go` command unless noted otherwise.
 #[derive(Clone, Default, Debug, Serialize, Deserialize)]
 pub struct StubCounts {
+    /// Number of stub proxies in this process.
     pub proxies: usize,
-    /// Bytes that came from discovery and processor time in steps that took them up to the first whole list, over all.
+    /// Bytes received from discovery until every proxy had its first full list; counted from the start.
     #[serde(rename = "first_bytes")]
     pub first_list_bytes: u64,
+    /// Processor time in seconds of the steps that took those bytes.
     #[serde(rename = "first_cpu")]
     pub first_list_cpu: f64,
-    /// Bytes held: before any proxy, once all hold a list, and with their connections.
+    /// Resident memory in bytes before any proxy was created.
     #[serde(rename = "empty")]
     pub memory_before_proxies: f64,
+    /// Resident memory in bytes once every proxy had a server list.
     #[serde(rename = "listed")]
     pub memory_with_lists: f64,
+    /// Resident memory in bytes once every proxy also had its open connections.
     #[serde(rename = "stand")]
     pub memory_with_connections: f64,
+    /// Watches requested from discovery.
     #[serde(rename = "calls")]
     pub watch_requests: u64,
+    /// Bytes received from discovery.
     #[serde(rename = "bytes")]
     pub watch_bytes: u64,
-    /// Processor time in steps that took up what discovery wrote, in ticks, and in all that calls need, in seconds.
+    /// Processor time of steps that handled data from discovery, in seconds.
     pub watch_cpu: f64,
+    /// Processor time of steps that handled timers, in seconds.
     #[serde(rename = "tick_cpu")]
     pub timer_cpu: f64,
+    /// Processor time of steps that handled calls, in seconds.
     #[serde(rename = "pick_cpu")]
     pub call_cpu: f64,
+    /// Steps of all kinds.
     pub steps: u64,
+    /// Calls made at the scheduled rate.
     #[serde(rename = "picks")]
     pub client_calls: u64,
+    /// Answers to clients other than `UP` and `MOVE`.
     pub refused: u64,
+    /// Duration from the `go` command to the `stop` command, in seconds.
     pub seconds: f64,
-    /// By how much it came late to a look at its timers, at the most.
+    /// Largest delay of a timer check beyond its interval, in seconds.
     #[serde(rename = "late")]
     pub max_delay: f64,
-    /// When the last proxy here held each version.
+    /// Each list version that every proxy here received, with the Unix time at which the last one did.
     #[serde(rename = "held")]
     pub version_times: Vec<(u64, f64)>,
-    /// When the last of those that started anew held a list again, after they had.
+    /// Longest time from the restart of a proxy to its first server list, in seconds.
     #[serde(rename = "again")]
     pub max_restart_recovery: f64,
 }
 
-/// The settings of hollow and real proxies alike.
+/// The settings that both stub and real proxies use.
 pub fn scale_settings(position: usize, total_proxies: usize) -> Result<Value, String> {
-    let mut of = Experiment::parse("name = \"scale\"\nabout = \"hollow\"")?;
-    of.fleet.zones = vec!["a".into()];
-    of.fleet.proxies = total_proxies.max(1);
-    Ok(proxy_settings(&of, position))
+    let mut experiment = Experiment::parse("name = \"scale\"\nabout = \"hollow\"")?;
+    experiment.fleet.zones = vec!["a".into()];
+    experiment.fleet.proxies = total_proxies.max(1);
+    Ok(proxy_settings(&experiment, position))
 }
 
-struct Hollow {
+/// One stub proxy.
+struct StubProxy {
     reducer: Reducer,
     position: usize,
-    link: Option<(TcpStream, Vec<u8>, bool)>,
-    admitted: Option<usize>,
-    /// Slots that stand, the oldest first, with a number of their own.
-    stands: VecDeque<(usize, u64)>,
-    alive: BTreeMap<usize, u64>,
-    next_pick: f64,
+    /// The connection to discovery, the request to send on it, and whether it is still connecting.
+    watch: Option<(TcpStream, Vec<u8>, bool)>,
+    /// The slot that the last accepted client was given, until the call takes it.
+    assigned_slot: Option<usize>,
+    /// Slots of open calls, oldest first, with the serial number of the call; closed calls are not removed.
+    calls_by_age: VecDeque<(usize, u64)>,
+    /// Serial number of the open call in each slot.
+    open_calls: BTreeMap<usize, u64>,
+    /// Unix time of the next scheduled call.
+    next_call: f64,
+    /// Version of the server list; 0 before the first.
     version: u64,
-    since: f64,
+    /// Unix time at which the proxy was created.
+    created_at: f64,
 }
 
+/// The stub proxies of this process and what they share.
 struct Process {
     spec: StubSpec,
     settings: Value,
     poll: Poll,
-    hollows: Vec<Hollow>,
+    proxies: Vec<StubProxy>,
     counts: StubCounts,
-    held: BTreeMap<u64, (usize, f64)>,
+    /// For each list version, how many proxies have received it and the Unix time at which the last one did.
+    version_arrivals: BTreeMap<u64, (usize, f64)>,
     clock: Clock,
     serial: u64,
-    open: String,
+    /// The options at the end of an `OPEN` line.
+    call_options: String,
 }
 
-/// What a step was for.
+/// What a step handles; selects the count that its processor time is added to.
 #[derive(Clone, Copy, PartialEq)]
-enum For {
+enum StepKind {
     Watch,
-    Tick,
-    Pick,
+    Timer,
+    Call,
 }
 
-/// Runs until told to stop; `lines` are commands, and what is told goes to standard output.
+/// Runs stub proxies until the command `stop` or the end of standard input. Commands are lines of standard input;
+/// events and counts go to standard output as JSON.
 pub fn run_process(spec: StubSpec) -> Result<(), String> {
-    let (tell, told_lines) = std::sync::mpsc::channel();
+    let (command_sender, commands) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines() {
             let Ok(line) = line else { break };
-            if tell.send(line).is_err() {
+            if command_sender.send(line).is_err() {
                 break;
             }
         }
     });
     let settings = scale_settings(0, spec.total_proxies)?;
-    let name = |list: &str| settings[list][0]["name"].as_str().unwrap_or("").to_owned();
-    let open = format!("c={},t={},d=2000\r\n", name("trafficTypes"), name("tenants"));
+    let first_entry_name = |list: &str| settings[list][0]["name"].as_str().unwrap_or("").to_owned();
+    let call_options =
+        format!("c={},t={},d=2000\r\n", first_entry_name("trafficTypes"), first_entry_name("tenants"));
     let poll = Poll::new().map_err(|e| e.to_string())?;
     let mut process = Process {
         poll,
-        hollows: Vec::new(),
+        proxies: Vec::new(),
         counts: StubCounts {
             proxies: spec.proxies,
             memory_before_proxies: resident_memory(std::process::id()),
             ..StubCounts::default()
         },
-        held: BTreeMap::new(),
+        version_arrivals: BTreeMap::new(),
         clock: Clock::default(),
         serial: 0,
-        open,
+        call_options,
         settings,
         spec,
     };
-    process.play(&told_lines)
+    process.run(&commands)
 }
 
 impl Process {
-    fn play(&mut self, lines: &Receiver<String>) -> Result<(), String> {
-        for at in 0..self.spec.proxies {
-            let hollow = self.make(at)?;
-            self.hollows.push(hollow);
-            self.apply(at, &[]);
+    fn run(&mut self, commands: &Receiver<String>) -> Result<(), String> {
+        for i in 0..self.spec.proxies {
+            let proxy = self.new_proxy(i)?;
+            self.proxies.push(proxy);
+            self.apply(i, &[]);
         }
-        let (mut ready, mut filled, mut go, mut looked) = (false, false, None::<f64>, self.clock.now());
+        let (mut all_listed, mut all_connected, mut measure_start, mut last_poll) =
+            (false, false, None::<f64>, self.clock.now());
         let mut events = Events::with_capacity(1024);
         loop {
-            let _ = self.poll.poll(&mut events, Some(Duration::from_secs_f64(LOOK)));
+            let _ = self.poll.poll(&mut events, Some(Duration::from_secs_f64(POLL_INTERVAL_SECONDS)));
             for event in events.iter() {
-                self.watched(event.token().0, event.is_writable());
+                self.handle_watch_ready(event.token().0, event.is_writable());
             }
             let now = self.clock.now();
-            if go.is_some() {
-                self.counts.max_delay = self.counts.max_delay.max(now - looked - LOOK);
+            if measure_start.is_some() {
+                self.counts.max_delay = self.counts.max_delay.max(now - last_poll - POLL_INTERVAL_SECONDS);
             }
-            looked = now;
-            for at in 0..self.hollows.len() {
-                if self.hollows[at].reducer.next_due().is_some_and(|due| due <= now) {
-                    self.hollows[at].reducer.set_poll_times(now, 0.0);
-                    self.step(at, Event::Tick, For::Tick);
+            last_poll = now;
+            for i in 0..self.proxies.len() {
+                if self.proxies[i].reducer.next_due().is_some_and(|due| due <= now) {
+                    self.proxies[i].reducer.set_poll_times(now, 0.0);
+                    self.step(i, Event::Tick, StepKind::Timer);
                 }
-                while go.is_some() && self.hollows[at].next_pick <= now {
-                    self.hollows[at].next_pick += 1.0 / self.spec.calls_per_second;
-                    self.pick(at);
+                while measure_start.is_some() && self.proxies[i].next_call <= now {
+                    self.proxies[i].next_call += 1.0 / self.spec.calls_per_second;
+                    self.replace_oldest_call(i);
                 }
             }
-            if !ready && self.hollows.iter().all(|h| h.version > 0) {
-                ready = true;
+            if !all_listed && self.proxies.iter().all(|p| p.version > 0) {
+                all_listed = true;
                 self.counts.first_list_bytes = self.counts.watch_bytes;
                 self.counts.first_list_cpu = self.counts.watch_cpu;
                 self.counts.memory_with_lists = resident_memory(std::process::id());
-                println!("{}", json!({"ready": self.hollows.len()}));
+                println!("{}", json!({"ready": self.proxies.len()}));
             }
-            // A few at a time, so that what discovery writes is not waited for.
-            if ready && !filled {
-                filled = true;
-                for at in 0..self.hollows.len() {
+            // Opens at most 20 connections per proxy between polls, so that data from discovery is not delayed.
+            if all_listed && !all_connected {
+                all_connected = true;
+                for i in 0..self.proxies.len() {
                     for _ in 0..20 {
-                        if self.hollows[at].alive.len() < self.spec.open_connections {
-                            self.call(at);
-                            filled = false;
+                        if self.proxies[i].open_calls.len() < self.spec.open_connections {
+                            self.start_call(i);
+                            all_connected = false;
                         }
                     }
                 }
-                if filled {
+                if all_connected {
                     self.counts.memory_with_connections = resident_memory(std::process::id());
                     println!("{}", json!({"filled": true}));
                 }
             }
-            match lines.try_recv() {
+            match commands.try_recv() {
                 Ok(line) => match line.split_whitespace().collect::<Vec<_>>()[..] {
                     ["go"] => {
-                        let kept = self.counts.clone();
+                        let previous = self.counts.clone();
                         self.counts = StubCounts {
-                            proxies: kept.proxies,
-                            first_list_bytes: kept.first_list_bytes,
-                            first_list_cpu: kept.first_list_cpu,
-                            memory_before_proxies: kept.memory_before_proxies,
-                            memory_with_lists: kept.memory_with_lists,
-                            memory_with_connections: kept.memory_with_connections,
+                            proxies: previous.proxies,
+                            first_list_bytes: previous.first_list_bytes,
+                            first_list_cpu: previous.first_list_cpu,
+                            memory_before_proxies: previous.memory_before_proxies,
+                            memory_with_lists: previous.memory_with_lists,
+                            memory_with_connections: previous.memory_with_connections,
                             ..StubCounts::default()
                         };
-                        self.held.clear();
-                        go = Some(self.clock.now());
-                        self.schedule();
+                        self.version_arrivals.clear();
+                        measure_start = Some(self.clock.now());
+                        self.schedule_calls();
                     }
-                    ["restart", part] => self.restart(part.parse().unwrap_or(1.0))?,
+                    ["restart", fraction] => self.restart(fraction.parse().unwrap_or(1.0))?,
                     ["stop"] => {
                         let now = self.clock.now();
-                        self.counts.seconds = go.map_or(0.0, |at| now - at);
-                        let all = self.hollows.len();
-                        let whole = self.held.iter().filter(|(_, (count, _))| *count == all);
-                        self.counts.version_times = whole.map(|(version, (_, at))| (*version, *at)).collect();
+                        self.counts.seconds = measure_start.map_or(0.0, |start| now - start);
+                        let proxy_count = self.proxies.len();
+                        let complete =
+                            self.version_arrivals.iter().filter(|(_, (count, _))| *count == proxy_count);
+                        self.counts.version_times =
+                            complete.map(|(version, (_, time))| (*version, *time)).collect();
                         println!("{}", serde_json::to_string(&self.counts).map_err(|e| e.to_string())?);
                         return Ok(());
                     }
-                    _ => return Err(format!("'{line}' is no command")),
+                    _ => return Err(format!("unknown command '{line}'")),
                 },
-                // Whoever started this has gone.
+                // The parent process closed its end of the pipe.
                 Err(TryRecvError::Disconnected) => return Ok(()),
                 Err(TryRecvError::Empty) => {}
             }
         }
     }
 
-    fn make(&mut self, at: usize) -> Result<Hollow, String> {
+    /// Creates the stub proxy with index `i`.
+    fn new_proxy(&mut self, i: usize) -> Result<StubProxy, String> {
         let now = self.clock.now();
-        let position = self.spec.first_position + at;
+        let position = self.spec.first_position + i;
         self.settings["position"] = position.into();
         let startup = Startup::read(&self.settings)?;
         self.serial += 1;
         let seed = u128::from(self.serial) << 32 | position as u128;
-        let most = 2 * self.spec.open_connections + 256;
-        let reducer = Reducer::new(now, startup, seed, self.spec.discovery, most, &Value::Null);
-        Ok(Hollow {
+        let max_sockets = 2 * self.spec.open_connections + 256;
+        let reducer = Reducer::new(now, startup, seed, self.spec.discovery, max_sockets, &Value::Null);
+        Ok(StubProxy {
             reducer,
             position,
-            link: None,
-            admitted: None,
-            stands: VecDeque::new(),
-            alive: BTreeMap::new(),
-            next_pick: f64::INFINITY,
+            watch: None,
+            assigned_slot: None,
+            calls_by_age: VecDeque::new(),
+            open_calls: BTreeMap::new(),
+            next_call: f64::INFINITY,
             version: 0,
-            since: now,
+            created_at: now,
         })
     }
 
-    /// Calls come evenly, at another moment at each proxy.
-    fn schedule(&mut self) {
+    /// Schedules the first call of each proxy; the golden ratio spreads the phases of proxies evenly over the interval.
+    fn schedule_calls(&mut self) {
         let now = self.clock.now();
-        for hollow in &mut self.hollows {
-            let part = (hollow.position as f64 * 0.618_034).fract();
-            hollow.next_pick = if self.spec.calls_per_second > 0.0 {
-                now + part / self.spec.calls_per_second
+        for proxy in &mut self.proxies {
+            let fraction = (proxy.position as f64 * 0.618_034).fract();
+            proxy.next_call = if self.spec.calls_per_second > 0.0 {
+                now + fraction / self.spec.calls_per_second
             } else {
                 f64::INFINITY
             };
         }
     }
 
-    fn restart(&mut self, part: f64) -> Result<(), String> {
-        for at in 0..((self.hollows.len() as f64 * part).ceil() as usize).min(self.hollows.len()) {
-            let hollow = self.make(at)?;
-            let next_pick = self.hollows[at].next_pick;
-            self.hollows[at] = Hollow { next_pick, ..hollow };
-            self.apply(at, &[]);
+    /// Replaces the given fraction of the proxies by new ones without a server list.
+    fn restart(&mut self, fraction: f64) -> Result<(), String> {
+        for i in 0..((self.proxies.len() as f64 * fraction).ceil() as usize).min(self.proxies.len()) {
+            let proxy = self.new_proxy(i)?;
+            let next_call = self.proxies[i].next_call;
+            self.proxies[i] = StubProxy { next_call, ..proxy };
+            self.apply(i, &[]);
         }
         Ok(())
     }
 
-    fn step(&mut self, at: usize, event: Event, what: For) {
+    /// Passes an event to a proxy, measures the step, and carries out its effects.
+    fn step(&mut self, i: usize, event: Event, kind: StepKind) {
         let bytes = match event {
             Event::Bytes(_, bytes) => bytes.to_vec(),
             _ => Vec::new(),
         };
         let now = self.clock.now();
         let before = thread_cpu_time();
-        self.hollows[at].reducer.step(now, event);
-        let took = thread_cpu_time() - before;
+        self.proxies[i].reducer.step(now, event);
+        let cpu_time = thread_cpu_time() - before;
         self.counts.steps += 1;
-        match what {
-            For::Watch => self.counts.watch_cpu += took,
-            For::Tick => self.counts.timer_cpu += took,
-            For::Pick => self.counts.call_cpu += took,
+        match kind {
+            StepKind::Watch => self.counts.watch_cpu += cpu_time,
+            StepKind::Timer => self.counts.timer_cpu += cpu_time,
+            StepKind::Call => self.counts.call_cpu += cpu_time,
         }
-        self.apply(at, &bytes);
+        self.apply(i, &bytes);
     }
 
-    fn apply(&mut self, at: usize, _bytes: &[u8]) {
-        let mut then: VecDeque<(Event<'static>, For)> = VecDeque::new();
-        for effect in self.hollows[at].reducer.take_effects() {
+    /// Carries out the effects of a step: connections to servers succeed at once and servers answer `UP 1`.
+    fn apply(&mut self, i: usize, _bytes: &[u8]) {
+        let mut follow_ups: VecDeque<(Event<'static>, StepKind)> = VecDeque::new();
+        for effect in self.proxies[i].reducer.take_effects() {
             match effect {
-                Effect::AssignSession(slot) => self.hollows[at].admitted = Some(slot),
-                Effect::Connect(leg, _) => then.push_back((Event::Connected(leg), For::Pick)),
+                Effect::AssignSession(slot) => self.proxies[i].assigned_slot = Some(slot),
+                Effect::Connect(leg, _) => follow_ups.push_back((Event::Connected(leg), StepKind::Call)),
                 Effect::SendHead { leg, .. } => {
-                    then.push_back((Event::HeadWritten(leg), For::Pick));
-                    then.push_back((Event::Bytes(Endpoint::Server(leg), b"UP 1\r\n"), For::Pick));
+                    follow_ups.push_back((Event::HeadWritten(leg), StepKind::Call));
+                    follow_ups.push_back((Event::Bytes(Endpoint::Server(leg), b"UP 1\r\n"), StepKind::Call));
                 }
-                Effect::Write(Endpoint::Client(slot), text) => {
-                    if text.starts_with(b"UP") {
+                Effect::Write(Endpoint::Client(slot), bytes) => {
+                    if bytes.starts_with(b"UP") {
                         self.serial += 1;
-                        let hollow = &mut self.hollows[at];
-                        hollow.stands.push_back((slot, self.serial));
-                        hollow.alive.insert(slot, self.serial);
-                    } else if !text.starts_with(b"MOVE") {
+                        let proxy = &mut self.proxies[i];
+                        proxy.calls_by_age.push_back((slot, self.serial));
+                        proxy.open_calls.insert(slot, self.serial);
+                    } else if !bytes.starts_with(b"MOVE") {
                         self.counts.refused += 1;
                     }
                 }
-                Effect::ShutdownWrite(end) => {
-                    then.push_back((Event::Closed(end, CloseKind::Graceful), For::Pick))
+                Effect::ShutdownWrite(endpoint) => {
+                    follow_ups.push_back((Event::Closed(endpoint, CloseKind::Graceful), StepKind::Call))
                 }
-                Effect::Close(Endpoint::Client(slot), _) => drop(self.hollows[at].alive.remove(&slot)),
-                Effect::OpenWatch(discovery, since) => self.follow(at, discovery, since),
-                Effect::CloseWatch => self.hollows[at].link = None,
+                Effect::Close(Endpoint::Client(slot), _) => drop(self.proxies[i].open_calls.remove(&slot)),
+                Effect::OpenWatch(discovery, since) => self.open_watch(i, discovery, since),
+                Effect::CloseWatch => self.proxies[i].watch = None,
                 Effect::Close(Endpoint::Server(_), _)
                 | Effect::Forward(..)
                 | Effect::Write(..)
@@ -335,30 +372,33 @@
                 | Effect::Exit => {}
             }
         }
-        for (event, what) in then {
-            self.step(at, event, what);
+        for (event, kind) in follow_ups {
+            self.step(i, event, kind);
         }
     }
 
-    fn follow(&mut self, at: usize, discovery: SocketAddr, since: u64) {
+    /// Connects to discovery to watch changes since a version.
+    fn open_watch(&mut self, i: usize, discovery: SocketAddr, since: u64) {
         self.counts.watch_requests += 1;
-        self.hollows[at].link = None;
+        self.proxies[i].watch = None;
         let opened = TcpStream::connect(discovery).and_then(|mut socket| {
             let interest = Interest::READABLE | Interest::WRITABLE;
-            self.poll.registry().register(&mut socket, Token(at), interest)?;
+            self.poll.registry().register(&mut socket, Token(i), interest)?;
             Ok(socket)
         });
         match opened {
             Ok(socket) => {
-                let asks = http::watch_request(&discovery.to_string(), since);
-                self.hollows[at].link = Some((socket, asks, true));
+                let request = http::watch_request(&discovery.to_string(), since);
+                self.proxies[i].watch = Some((socket, request, true));
             }
-            Err(_) => self.step(at, Event::WatchLost, For::Watch),
+            Err(_) => self.step(i, Event::WatchLost, StepKind::Watch),
         }
     }
 
-    fn watched(&mut self, at: usize, writable: bool) {
-        let Some((socket, asks, connecting)) = self.hollows.get_mut(at).and_then(|h| h.link.as_mut()) else {
+    /// Handles a poll event on the connection to discovery.
+    fn handle_watch_ready(&mut self, i: usize, writable: bool) {
+        let Some((socket, request, connecting)) = self.proxies.get_mut(i).and_then(|p| p.watch.as_mut())
+        else {
             return;
         };
         if *connecting {
@@ -367,72 +407,73 @@
             }
             if !matches!(socket.take_error(), Ok(None))
                 || socket.peer_addr().is_err()
-                || socket.write_all(asks).is_err()
+                || socket.write_all(request).is_err()
             {
-                self.hollows[at].link = None;
-                return self.step(at, Event::WatchLost, For::Watch);
+                self.proxies[i].watch = None;
+                return self.step(i, Event::WatchLost, StepKind::Watch);
             }
             *connecting = false;
-            self.step(at, Event::WatchOpened, For::Watch);
+            self.step(i, Event::WatchOpened, StepKind::Watch);
         }
-        let mut piece = [0; 8192];
+        let mut buffer = [0; 8192];
         loop {
-            let Some((socket, _, false)) = self.hollows[at].link.as_mut() else { return };
-            match socket.read(&mut piece) {
+            let Some((socket, _, false)) = self.proxies[i].watch.as_mut() else { return };
+            match socket.read(&mut buffer) {
                 Ok(0) => {
-                    self.hollows[at].link = None;
-                    return self.step(at, Event::WatchLost, For::Watch);
+                    self.proxies[i].watch = None;
+                    return self.step(i, Event::WatchLost, StepKind::Watch);
                 }
-                Ok(n) => {
-                    self.counts.watch_bytes += n as u64;
-                    self.step(at, Event::WatchBytes(&piece[..n]), For::Watch);
-                    self.seen(at);
+                Ok(count) => {
+                    self.counts.watch_bytes += count as u64;
+                    self.step(i, Event::WatchBytes(&buffer[..count]), StepKind::Watch);
+                    self.record_version(i);
                 }
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return,
                 Err(_) => {
-                    self.hollows[at].link = None;
-                    return self.step(at, Event::WatchLost, For::Watch);
+                    self.proxies[i].watch = None;
+                    return self.step(i, Event::WatchLost, StepKind::Watch);
                 }
             }
         }
     }
 
-    /// Whether a newer version is held now.
-    fn seen(&mut self, at: usize) {
+    /// Records the list versions that a proxy has received since the last call of this function.
+    fn record_version(&mut self, i: usize) {
         let now = self.clock.now();
-        let hollow = &mut self.hollows[at];
-        let version = hollow.reducer.list_version();
-        if version <= hollow.version {
+        let proxy = &mut self.proxies[i];
+        let version = proxy.reducer.list_version();
+        if version <= proxy.version {
             return;
         }
-        if hollow.version == 0 {
-            self.counts.max_restart_recovery = self.counts.max_restart_recovery.max(now - hollow.since);
+        if proxy.version == 0 {
+            self.counts.max_restart_recovery = self.counts.max_restart_recovery.max(now - proxy.created_at);
         }
-        for held in (hollow.version + 1).max(version.saturating_sub(100))..=version {
-            let (count, last) = self.held.entry(held).or_insert((0, now));
+        for received in (proxy.version + 1).max(version.saturating_sub(100))..=version {
+            let (count, last) = self.version_arrivals.entry(received).or_insert((0, now));
             *count += 1;
             *last = last.max(now);
         }
-        hollow.version = version;
+        proxy.version = version;
     }
 
-    /// The oldest connection ends, where there are enough, and a new client calls.
-    fn pick(&mut self, at: usize) {
+    /// Closes the oldest connections down to one below the number to keep open, then makes a new call.
+    fn replace_oldest_call(&mut self, i: usize) {
         self.counts.client_calls += 1;
-        while self.hollows[at].alive.len() >= self.spec.open_connections.max(1) {
-            let Some((slot, serial)) = self.hollows[at].stands.pop_front() else { break };
-            if self.hollows[at].alive.get(&slot) == Some(&serial) {
-                self.step(at, Event::Closed(Endpoint::Client(slot), CloseKind::Graceful), For::Pick);
+        while self.proxies[i].open_calls.len() >= self.spec.open_connections.max(1) {
+            let Some((slot, serial)) = self.proxies[i].calls_by_age.pop_front() else { break };
+            if self.proxies[i].open_calls.get(&slot) == Some(&serial) {
+                self.step(i, Event::Closed(Endpoint::Client(slot), CloseKind::Graceful), StepKind::Call);
             }
         }
-        self.call(at);
+        self.start_call(i);
     }
 
-    fn call(&mut self, at: usize) {
-        self.step(at, Event::Accepted, For::Pick);
-        let Some(slot) = self.hollows[at].admitted.take() else { return };
+    /// Accepts a client that makes a call.
+    fn start_call(&mut self, i: usize) {
+        self.step(i, Event::Accepted, StepKind::Call);
+        let Some(slot) = self.proxies[i].assigned_slot.take() else { return };
         self.serial += 1;
-        let line = format!("OPEN {:016x} {:016x} {}", self.serial, self.serial, self.open);
-        self.step(at, Event::Bytes(Endpoint::Client(slot), line.as_bytes()), For::Pick);
+        let line = format!("OPEN {:016x} {:016x} {}", self.serial, self.serial, self.call_options);
+        self.step(i, Event::Bytes(Endpoint::Client(slot), line.as_bytes()), StepKind::Call);
     }
 }
