--- a/crates/dewhead-lab/src/scale/fake_discovery.rs
+++ b/crates/dewhead-lab/src/scale/fake_discovery.rs
@@ -1,5 +1,6 @@
-//! The stand-in for discovery, by its published pages: whoever follows is told a whole list or what changed since, then
-//! each change as it comes, and an empty line every two seconds. It counts what it writes, and its thread's time.
+//! A fake discovery service that follows the published protocol: a client that watches gets the full server list or the
+//! changes since the version it names, then each change as it happens, and an empty line every two seconds. It counts
+//! what it writes and the processor time of its thread.
 
 use super::{thread_cpu_time, Clock};
 use mio::net::{TcpListener, TcpStream};
@@ -15,330 +16,372 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const BEAT: f64 = 2.0;
-/// A follower that leaves so much unread is dropped, never waited for.
-const MOST_UNREAD: usize = 8 << 20;
-const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// Interval between empty lines that show a watcher that the service is alive.
+const HEARTBEAT_INTERVAL_SECONDS: f64 = 2.0;
+/// A watcher with more unsent data than this is disconnected: the service never waits for a slow reader.
+const MAX_UNSENT_BYTES: usize = 8 << 20;
+/// Start of the response to a watch request.
+const RESPONSE_HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// What it is asked for.
+/// A command to the thread of a [`FakeDiscovery`].
 pub enum DiscoveryCommand {
-    /// Changes of the list by the second from now on.
+    /// Changes the list this many times per second from now on.
     SetChangeRate(f64),
-    /// Answers nobody until so long from now.
+    /// Closes all watches and answers requests with status 503 for this many seconds.
     Suspend(f64),
-    /// Counts from nothing.
+    /// Sets all counts except the connected watchers to zero.
     ResetCounts,
-    /// Tells what was counted.
+    /// Sends the counts to the given channel.
     ReportCounts(Sender<DiscoveryCounts>),
 }
 
+/// Counts of a fake discovery service. Pairs are by the listener through which the watcher connected.
 #[derive(Clone, Default, Debug, Serialize)]
 pub struct DiscoveryCounts {
-    /// Calls that came, whole lists and lists of changes told to them.
+    /// Watch requests received.
     pub watch_requests: u64,
+    /// Full lists sent in answer to them; the other answers hold the changes since a version.
     pub full_lists: u64,
-    /// Lines and bytes written, by the listener that the follower came through.
+    /// Lines sent.
     pub lines: [u64; 2],
+    /// Bytes sent.
     pub bytes: [u64; 2],
+    /// Empty lines sent as heartbeats.
     pub heartbeats: u64,
-    /// Times that a line was put into words, and entries in them.
+    /// Lines encoded as JSON; one line may be sent to many watchers.
     pub lines_encoded: u64,
+    /// Server entries in those lines.
     pub entries_encoded: u64,
+    /// Watchers disconnected because of too much unsent data.
     pub dropped_watchers: u64,
+    /// Connected watchers.
     pub watchers: [u64; 2],
+    /// Changes of the list.
     pub changes: u64,
-    /// Processor time of its thread, in seconds.
+    /// Processor time of the service's thread, in seconds.
     pub cpu: f64,
-    /// When each version was made, from the first change counted.
+    /// Each list version with the Unix time at which it was published, from the first counted change.
     pub publish_times: Vec<(u64, f64)>,
-    /// By how much it came late to a change, at the most.
+    /// Largest delay of a change beyond its scheduled time, in seconds.
     pub max_delay: f64,
+    /// Bytes that all watchers together have not yet taken.
     pub unread_bytes: usize,
 }
 
-struct Entry {
+/// One server of the list.
+struct ServerEntry {
     name: String,
     draining: bool,
-    born: u64,
-    changed: u64,
+    started_ms: u64,
+    /// List version of its last change.
+    changed_version: u64,
 }
 
-struct Follower {
+/// A connected client.
+struct Watcher {
     socket: TcpStream,
-    from: usize,
-    said: Vec<u8>,
-    out: Vec<u8>,
-    follows: bool,
+    /// Index of the listener that accepted it.
+    listener: usize,
+    request: Vec<u8>,
+    unsent: Vec<u8>,
+    /// Whether it has sent its request and gets changes.
+    watching: bool,
 }
 
+/// A fake discovery service on a thread of this process, which ends when this is dropped.
 pub struct FakeDiscovery {
+    /// Addresses of its two listeners, which are counted separately.
     pub addresses: [SocketAddr; 2],
-    asks: Sender<DiscoveryCommand>,
-    over: Arc<AtomicBool>,
+    commands: Sender<DiscoveryCommand>,
+    stop: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-struct Inner {
+/// The state of the service's thread.
+struct Service {
     poll: Poll,
     listeners: [TcpListener; 2],
-    followers: Slab<Follower>,
-    entries: Vec<Entry>,
+    watchers: Slab<Watcher>,
+    entries: Vec<ServerEntry>,
     version: u64,
-    dial: SocketAddr,
+    server_address: SocketAddr,
     counts: DiscoveryCounts,
-    rate: f64,
+    change_rate: f64,
     next_change: f64,
-    next_server: usize,
-    away_until: f64,
+    next_server_index: usize,
+    suspended_until: f64,
     clock: Clock,
 }
 
 impl FakeDiscovery {
-    /// Tells of so many servers, all reached at one address. Versions begin at `version`.
-    pub fn start(servers: usize, dial: SocketAddr) -> io::Result<FakeDiscovery> {
+    /// Starts the service with a list of this many servers, all with the same address. The list starts at version 1.
+    pub fn start(servers: usize, server_address: SocketAddr) -> io::Result<FakeDiscovery> {
         let bind = || TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)));
         let mut listeners = [bind()?, bind()?];
         let addresses = [listeners[0].local_addr()?, listeners[1].local_addr()?];
         let poll = Poll::new()?;
-        for (at, listener) in listeners.iter_mut().enumerate() {
-            poll.registry().register(listener, Token(at), Interest::READABLE)?;
+        for (i, listener) in listeners.iter_mut().enumerate() {
+            poll.registry().register(listener, Token(i), Interest::READABLE)?;
         }
-        let (asks, asked) = std::sync::mpsc::channel();
-        let over = Arc::new(AtomicBool::new(false));
-        let ends = over.clone();
+        let (commands, command_receiver) = std::sync::mpsc::channel();
+        let stop = Arc::new(AtomicBool::new(false));
+        let stop_flag = stop.clone();
         let thread = std::thread::spawn(move || {
-            let entry = |n: usize| Entry { name: format!("s-{n:08x}"), draining: false, born: 0, changed: 1 };
-            let inner = Inner {
+            let entry = |n: usize| ServerEntry {
+                name: format!("s-{n:08x}"),
+                draining: false,
+                started_ms: 0,
+                changed_version: 1,
+            };
+            let service = Service {
                 poll,
                 listeners,
-                followers: Slab::new(),
+                watchers: Slab::new(),
                 entries: (0..servers).map(entry).collect(),
                 version: 1,
-                dial,
+                server_address,
                 counts: DiscoveryCounts::default(),
-                rate: 0.0,
+                change_rate: 0.0,
                 next_change: f64::INFINITY,
-                next_server: 0,
-                away_until: f64::NEG_INFINITY,
+                next_server_index: 0,
+                suspended_until: f64::NEG_INFINITY,
                 clock: Clock::default(),
             };
-            inner.run(&asked, &ends);
+            service.run(&command_receiver, &stop_flag);
         });
-        Ok(FakeDiscovery { addresses, asks, over, thread: Some(thread) })
+        Ok(FakeDiscovery { addresses, commands, stop, thread: Some(thread) })
     }
 
-    pub fn send(&self, ask: DiscoveryCommand) {
-        // Its thread ends only with this.
-        let _ = self.asks.send(ask);
+    /// Sends a command to the service's thread.
+    pub fn send(&self, command: DiscoveryCommand) {
+        // Can't fail: the thread runs until this is dropped.
+        let _ = self.commands.send(command);
     }
 
+    /// The current counts.
     pub fn counts(&self) -> DiscoveryCounts {
-        let (told, heard) = std::sync::mpsc::channel();
-        self.send(DiscoveryCommand::ReportCounts(told));
-        heard.recv().unwrap_or_default()
+        let (sender, receiver) = std::sync::mpsc::channel();
+        self.send(DiscoveryCommand::ReportCounts(sender));
+        receiver.recv().unwrap_or_default()
     }
 }
 
 impl Drop for FakeDiscovery {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-impl Inner {
-    fn run(mut self, asked: &Receiver<DiscoveryCommand>, ends: &AtomicBool) {
+impl Service {
+    fn run(mut self, command_receiver: &Receiver<DiscoveryCommand>, stop_flag: &AtomicBool) {
         let mut events = Events::with_capacity(1024);
-        let mut next_beat = self.clock.now() + BEAT;
-        let (mut since, mut from) = (thread_cpu_time(), thread_cpu_time());
-        while !ends.load(Ordering::Relaxed) {
-            let due = next_beat.min(self.next_change) - self.clock.now();
-            let _ = self.poll.poll(&mut events, Some(Duration::from_secs_f64(due.clamp(0.0, 0.02))));
+        let mut next_heartbeat = self.clock.now() + HEARTBEAT_INTERVAL_SECONDS;
+        let (mut cpu_now, mut cpu_start) = (thread_cpu_time(), thread_cpu_time());
+        while !stop_flag.load(Ordering::Relaxed) {
+            let until_due = next_heartbeat.min(self.next_change) - self.clock.now();
+            let _ = self.poll.poll(&mut events, Some(Duration::from_secs_f64(until_due.clamp(0.0, 0.02))));
             for event in events.iter() {
                 match event.token() {
-                    Token(at @ 0..=1) => self.accept(at),
-                    Token(other) => self.ready(other - 2, event.is_readable(), event.is_writable()),
+                    Token(i @ 0..=1) => self.accept(i),
+                    Token(other) => self.handle_ready(other - 2, event.is_readable(), event.is_writable()),
                 }
             }
             let now = self.clock.now();
             while self.next_change <= now {
                 self.counts.max_delay = self.counts.max_delay.max(now - self.next_change);
-                self.next_change += 1.0 / self.rate;
-                self.change(now);
+                self.next_change += 1.0 / self.change_rate;
+                self.change_next_server(now);
             }
-            if next_beat <= now {
-                next_beat += BEAT;
-                self.beat();
+            if next_heartbeat <= now {
+                next_heartbeat += HEARTBEAT_INTERVAL_SECONDS;
+                self.send_heartbeats();
             }
-            for ask in asked.try_iter() {
+            for command in command_receiver.try_iter() {
                 let now = self.clock.now();
-                match ask {
-                    DiscoveryCommand::SetChangeRate(rate) => {
-                        self.rate = rate;
-                        self.next_change = if rate > 0.0 { now + 1.0 / rate } else { f64::INFINITY };
+                match command {
+                    DiscoveryCommand::SetChangeRate(change_rate) => {
+                        self.change_rate = change_rate;
+                        self.next_change =
+                            if change_rate > 0.0 { now + 1.0 / change_rate } else { f64::INFINITY };
                     }
                     DiscoveryCommand::Suspend(seconds) => {
-                        self.away_until = now + seconds;
-                        // Its watches end with it.
-                        let all: Vec<usize> = self.followers.iter().map(|(at, _)| at).collect();
-                        all.into_iter().for_each(|at| self.close(at));
+                        self.suspended_until = now + seconds;
+                        // A service that goes away closes its watches.
+                        let all_watchers: Vec<usize> = self.watchers.iter().map(|(i, _)| i).collect();
+                        all_watchers.into_iter().for_each(|i| self.close(i));
                     }
                     DiscoveryCommand::ResetCounts => {
                         let watchers = self.counts.watchers;
                         self.counts = DiscoveryCounts { watchers, ..DiscoveryCounts::default() };
-                        from = thread_cpu_time();
+                        cpu_start = thread_cpu_time();
                     }
-                    DiscoveryCommand::ReportCounts(to) => {
-                        since = thread_cpu_time();
-                        self.counts.cpu = since - from;
-                        self.counts.unread_bytes = self.followers.iter().map(|(_, f)| f.out.len()).sum();
-                        let _ = to.send(self.counts.clone());
+                    DiscoveryCommand::ReportCounts(reply) => {
+                        cpu_now = thread_cpu_time();
+                        self.counts.cpu = cpu_now - cpu_start;
+                        self.counts.unread_bytes = self.watchers.iter().map(|(_, w)| w.unsent.len()).sum();
+                        let _ = reply.send(self.counts.clone());
                     }
                 }
             }
         }
-        let _ = since;
+        let _ = cpu_now;
     }
 
-    fn accept(&mut self, from: usize) {
-        while let Ok((mut socket, _)) = self.listeners[from].accept() {
-            let slot = self.followers.vacant_entry();
+    /// Accepts all pending connections of a listener.
+    fn accept(&mut self, listener: usize) {
+        while let Ok((mut socket, _)) = self.listeners[listener].accept() {
+            let slot = self.watchers.vacant_entry();
             let interest = Interest::READABLE | Interest::WRITABLE;
             if self.poll.registry().register(&mut socket, Token(slot.key() + 2), interest).is_ok() {
                 let _ = socket.set_nodelay(true);
-                slot.insert(Follower { socket, from, said: Vec::new(), out: Vec::new(), follows: false });
-                self.counts.watchers[from] += 1;
+                slot.insert(Watcher {
+                    socket,
+                    listener,
+                    request: Vec::new(),
+                    unsent: Vec::new(),
+                    watching: false,
+                });
+                self.counts.watchers[listener] += 1;
             }
         }
     }
 
-    fn close(&mut self, at: usize) {
-        if let Some(mut gone) = self.followers.try_remove(at) {
-            let _ = self.poll.registry().deregister(&mut gone.socket);
-            self.counts.watchers[gone.from] -= 1;
+    fn close(&mut self, i: usize) {
+        if let Some(mut watcher) = self.watchers.try_remove(i) {
+            let _ = self.poll.registry().deregister(&mut watcher.socket);
+            self.counts.watchers[watcher.listener] -= 1;
         }
     }
 
-    fn ready(&mut self, at: usize, readable: bool, writable: bool) {
-        let mut piece = [0; 4096];
+    /// Handles a poll event on the connection of a watcher.
+    fn handle_ready(&mut self, i: usize, readable: bool, writable: bool) {
+        let mut buffer = [0; 4096];
         if !readable {
-            return self.flush(at);
+            return self.flush(i);
         }
         loop {
-            let Some(follower) = self.followers.get_mut(at) else { return };
-            match follower.socket.read(&mut piece) {
-                Ok(0) => return self.close(at),
+            let Some(watcher) = self.watchers.get_mut(i) else { return };
+            match watcher.socket.read(&mut buffer) {
+                Ok(0) => return self.close(i),
                 Ok(n) => {
-                    follower.said.extend_from_slice(&piece[..n]);
-                    if follower.said.len() > piece.len() {
-                        return self.close(at);
+                    watcher.request.extend_from_slice(&buffer[..n]);
+                    if watcher.request.len() > buffer.len() {
+                        return self.close(i);
                     }
-                    if follower.said.ends_with(b"\r\n\r\n") {
-                        self.asked(at);
+                    if watcher.request.ends_with(b"\r\n\r\n") {
+                        self.answer_request(i);
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-                Err(_) => return self.close(at),
+                Err(_) => return self.close(i),
             }
         }
         if writable {
-            self.flush(at);
+            self.flush(i);
         }
     }
 
-    fn asked(&mut self, at: usize) {
+    /// Answers a complete request: 503 while suspended, else a watch from the version that it names.
+    fn answer_request(&mut self, i: usize) {
         self.counts.watch_requests += 1;
-        let said = std::mem::take(&mut self.followers[at].said);
-        if self.clock.now() < self.away_until {
-            self.write(at, b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+        let request = std::mem::take(&mut self.watchers[i].request);
+        if self.clock.now() < self.suspended_until {
+            self.write(i, b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return;
         }
-        let text = String::from_utf8_lossy(&said).into_owned();
+        let text = String::from_utf8_lossy(&request).into_owned();
         let since = text.split("since=").nth(1).and_then(|s| s.split([' ', '&']).next()?.parse::<u64>().ok());
         let since = since.unwrap_or(0);
-        let whole = since == 0 || since > self.version;
-        self.counts.full_lists += u64::from(whole);
-        let line = self.line(since, whole);
-        self.write(at, HEAD.as_bytes());
-        self.tell(at, &line);
-        if let Some(follower) = self.followers.get_mut(at) {
-            follower.follows = true;
+        let full = since == 0 || since > self.version;
+        self.counts.full_lists += u64::from(full);
+        let line = self.encode_line(since, full);
+        self.write(i, RESPONSE_HEAD.as_bytes());
+        self.send_line(i, &line);
+        if let Some(watcher) = self.watchers.get_mut(i) {
+            watcher.watching = true;
         }
     }
 
-    /// A line with what changed after that version, as a chunk.
-    fn line(&mut self, since: u64, whole: bool) -> Rc<Vec<u8>> {
-        let dial = self.dial.to_string();
-        let changed = self.entries.iter().filter(|e| whole || e.changed > since);
+    /// A line with the full list or with the servers that changed after version `since`, as an HTTP chunk.
+    fn encode_line(&mut self, since: u64, full: bool) -> Rc<Vec<u8>> {
+        let server_address = self.server_address.to_string();
+        let changed = self.entries.iter().filter(|e| full || e.changed_version > since);
         let hosts: Vec<_> = changed
             .map(|e| {
                 let health = if e.draining { "draining" } else { "ready" };
-                json!({"host": e.name, "dial": dial, "site": "a", "class": "m2", "block": 3, "health": health,
-                       "share": 1.0, "born_ms": e.born})
+                json!({"host": e.name, "dial": server_address, "site": "a", "class": "m2", "block": 3, "health": health,
+                       "share": 1.0, "born_ms": e.started_ms})
             })
             .collect();
         self.counts.lines_encoded += 1;
         self.counts.entries_encoded += hosts.len() as u64;
-        let mut line = json!({"seq": self.version, "whole": whole, "hosts": hosts}).to_string();
+        let mut line = json!({"seq": self.version, "whole": full, "hosts": hosts}).to_string();
         line.push('\n');
         Rc::new(format!("{:x}\r\n{line}\r\n", line.len()).into_bytes())
     }
 
-    /// One server begins to drain, or is back with a new start; a line put into words once serves all.
-    fn change(&mut self, now: f64) {
-        let at = self.next_server % self.entries.len();
-        self.next_server += 1;
+    /// Sets the next server to draining, or back to ready with a new start time. The line is encoded once for all
+    /// watchers.
+    fn change_next_server(&mut self, now: f64) {
+        let i = self.next_server_index % self.entries.len();
+        self.next_server_index += 1;
         self.version += 1;
-        let entry = &mut self.entries[at];
+        let entry = &mut self.entries[i];
         entry.draining = !entry.draining;
-        entry.changed = self.version;
+        entry.changed_version = self.version;
         if !entry.draining {
-            entry.born = (now * 1000.0) as u64;
+            entry.started_ms = (now * 1000.0) as u64;
         }
         self.counts.changes += 1;
         self.counts.publish_times.push((self.version, now));
-        let line = self.line(self.version - 1, false);
-        let all: Vec<usize> = self.followers.iter().filter(|(_, f)| f.follows).map(|(at, _)| at).collect();
-        all.into_iter().for_each(|at| self.tell(at, &line));
+        let line = self.encode_line(self.version - 1, false);
+        let watching: Vec<usize> = self.watchers.iter().filter(|(_, w)| w.watching).map(|(i, _)| i).collect();
+        watching.into_iter().for_each(|i| self.send_line(i, &line));
     }
 
-    fn beat(&mut self) {
-        let all: Vec<usize> = self.followers.iter().filter(|(_, f)| f.follows).map(|(at, _)| at).collect();
-        for at in all {
+    /// Sends an empty line to every watcher.
+    fn send_heartbeats(&mut self) {
+        let watching: Vec<usize> = self.watchers.iter().filter(|(_, w)| w.watching).map(|(i, _)| i).collect();
+        for i in watching {
             self.counts.heartbeats += 1;
-            self.tell(at, b"1\r\n\n\r\n");
+            self.send_line(i, b"1\r\n\n\r\n");
         }
     }
 
-    fn tell(&mut self, at: usize, line: &[u8]) {
-        if let Some(follower) = self.followers.get(at) {
-            self.counts.lines[follower.from] += 1;
-            self.write(at, line);
+    /// Sends a line to a watcher and counts it.
+    fn send_line(&mut self, i: usize, line: &[u8]) {
+        if let Some(watcher) = self.watchers.get(i) {
+            self.counts.lines[watcher.listener] += 1;
+            self.write(i, line);
         }
     }
 
-    fn write(&mut self, at: usize, bytes: &[u8]) {
-        let Some(follower) = self.followers.get_mut(at) else { return };
-        self.counts.bytes[follower.from] += bytes.len() as u64;
-        follower.out.extend_from_slice(bytes);
-        if follower.out.len() > MOST_UNREAD {
+    /// Queues bytes for a watcher, which is disconnected if too many are unsent, and sends what its socket takes.
+    fn write(&mut self, i: usize, bytes: &[u8]) {
+        let Some(watcher) = self.watchers.get_mut(i) else { return };
+        self.counts.bytes[watcher.listener] += bytes.len() as u64;
+        watcher.unsent.extend_from_slice(bytes);
+        if watcher.unsent.len() > MAX_UNSENT_BYTES {
             self.counts.dropped_watchers += 1;
-            return self.close(at);
+            return self.close(i);
         }
-        self.flush(at);
+        self.flush(i);
     }
 
-    fn flush(&mut self, at: usize) {
-        let Some(follower) = self.followers.get_mut(at) else { return };
-        while !follower.out.is_empty() {
-            match follower.socket.write(&follower.out) {
-                Ok(n) => drop(follower.out.drain(..n)),
+    /// Sends queued bytes until the socket is full.
+    fn flush(&mut self, i: usize) {
+        let Some(watcher) = self.watchers.get_mut(i) else { return };
+        while !watcher.unsent.is_empty() {
+            match watcher.socket.write(&watcher.unsent) {
+                Ok(n) => drop(watcher.unsent.drain(..n)),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(_) => return self.close(at),
+                Err(_) => return self.close(i),
             }
         }
-        follower.out.shrink_to(4096);
+        watcher.unsent.shrink_to(4096);
     }
 }
