--- a/crates/dewhead-lab/src/commands/compare.rs
+++ b/crates/dewhead-lab/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `compare`: two who decide, or two builds, on the same seeds; paired differences with their confidence.
+//! `compare`: paired differences between two policies or builds on the same seeds, with confidence intervals.
 
 use crate::runs::{self, Read, Task};
 use crate::stats;
@@ -6,84 +6,95 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Compare two on the same seeds: who decides, or an earlier build's lab as lab:PATH.
+/// Compare two policies on the same seeds, or a policy and another build of this program, given as lab:PATH.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "compare")]
 pub struct Compare {
-    /// the experiments' files
+    /// experiment files
     #[argh(positional)]
     files: Vec<PathBuf>,
-    /// the one: dewhead, a baseline, top, or lab:PATH for another build of this program
+    /// the first side: a policy (see run --who), or lab:PATH for another build of this program; dewhead if not given
     #[argh(option, default = "String::from(\"dewhead\")")]
     a: String,
-    /// the other
+    /// the second side, in the same form
     #[argh(option)]
     b: String,
-    /// seeds: 3, 1..10 or 1,4,9
+    /// seeds: 3, 1..10 or 1,4,9; 1..10 if not given
     #[argh(option, default = "String::from(\"1..10\")")]
     seeds: String,
 }
 
-type Figures = Vec<(String, u64, f64, f64, usize)>;
+/// For each run: point of the matrix, seed, service, service in the worst ten seconds, and number of rule violations.
+type RunFigures = Vec<(String, u64, f64, f64, usize)>;
 
 impl Compare {
+    /// Runs the command; returns whether neither side violated a rule.
     pub fn execute(&self) -> Result<bool, String> {
         if self.files.is_empty() {
-            return Err("compare: no experiment's file is named".into());
+            return Err("compare: no experiment file given".into());
         }
         println!(
-            "differences are {} less {}, paired by seed, with 95 in a hundred confidence",
+            "differences are {} minus {}, paired by seed, with 95 % confidence intervals",
             self.a, self.b
         );
-        let mut sound = true;
+        let mut no_violations = true;
         for file in &self.files {
-            let (a, b) = (self.figures(file, &self.a)?, self.figures(file, &self.b)?);
+            let (a, b) = (self.run_figures(file, &self.a)?, self.run_figures(file, &self.b)?);
             let pairs: Vec<_> = a
                 .iter()
                 .filter_map(|x| b.iter().find(|y| (&y.0, y.1) == (&x.0, x.1)).map(|y| (x, y)))
                 .collect();
             if pairs.len() < a.len().max(b.len()) {
-                return Err(format!("{}: the two did not play the same runs", file.display()));
+                return Err(format!("{}: the two sides did not play the same runs", file.display()));
             }
-            sound &= pairs.iter().all(|(x, y)| x.4 + y.4 == 0);
+            no_violations &= pairs.iter().all(|(x, y)| x.4 + y.4 == 0);
             let mut points: Vec<&str> = pairs.iter().map(|(x, _)| x.0.as_str()).collect();
             points.dedup();
             for point in points {
-                let at: Vec<_> = pairs.iter().filter(|(x, _)| x.0 == point).collect();
-                let of = |f: fn(&(String, u64, f64, f64, usize)) -> f64| {
-                    let both: Vec<(f64, f64)> = at.iter().map(|(x, y)| (f(x), f(y))).collect();
-                    let differences: Vec<f64> = both.iter().map(|(x, y)| x - y).collect();
-                    let means =
-                        |n: fn(&(f64, f64)) -> f64| stats::mean(&both.iter().map(n).collect::<Vec<_>>());
-                    (means(|p| p.0), means(|p| p.1), stats::interval(&differences))
-                };
-                let (service, worst) = (of(|x| x.2), of(|x| x.3));
-                let tells = |(x, y, (d, w)): (f64, f64, (f64, f64))| {
-                    let clear = if d.abs() > w { "" } else { " (noise)" };
-                    format!("{x:.4} against {y:.4}: {d:+.4} +- {w:.4}{clear}")
+                let at_point: Vec<_> = pairs.iter().filter(|(x, _)| x.0 == point).collect();
+                let difference_of = |f: fn(&(String, u64, f64, f64, usize)) -> f64| {
+                    let values: Vec<(f64, f64)> = at_point.iter().map(|(x, y)| (f(x), f(y))).collect();
+                    let differences: Vec<f64> = values.iter().map(|(x, y)| x - y).collect();
+                    let mean_of =
+                        |n: fn(&(f64, f64)) -> f64| stats::mean(&values.iter().map(n).collect::<Vec<_>>());
+                    (mean_of(|p| p.0), mean_of(|p| p.1), stats::interval(&differences))
                 };
+                let (service, worst) = (difference_of(|x| x.2), difference_of(|x| x.3));
+                let format_difference =
+                    |(first, second, (difference, half_width)): (f64, f64, (f64, f64))| {
+                        let noise_mark = if difference.abs() > half_width { "" } else { " (noise)" };
+                        format!(
+                            "{first:.4} against {second:.4}: {difference:+.4} +- {half_width:.4}{noise_mark}"
+                        )
+                    };
                 let name = file.file_stem().map_or_else(String::new, |s| s.to_string_lossy().into_owned());
                 println!(
                     "{name} {point}\n    service     {}\n    worst 10 s  {}",
-                    tells(service),
-                    tells(worst)
+                    format_difference(service),
+                    format_difference(worst)
                 );
             }
         }
-        Ok(sound)
+        Ok(no_violations)
     }
 
-    fn figures(&self, file: &Path, who: &str) -> Result<Figures, String> {
-        if let Some(lab) = who.strip_prefix("lab:") {
-            return other_lab(Path::new(lab), file, &self.seeds);
+    /// The figures of all runs of an experiment with one side.
+    fn run_figures(&self, file: &Path, side: &str) -> Result<RunFigures, String> {
+        if let Some(other_build) = side.strip_prefix("lab:") {
+            return run_other_build(Path::new(other_build), file, &self.seeds);
         }
-        let (of, who) = (runs::read(file)?, runs::who(who)?);
-        let points = of.matrix_points().map_err(|e| format!("{}: {e}", file.display()))?;
+        let (experiment, who) = (runs::read(file)?, runs::who(side)?);
+        let points = experiment.matrix_points().map_err(|e| format!("{}: {e}", file.display()))?;
         let seeds = runs::seeds(&self.seeds)?;
         let tasks: Vec<Task> = points
             .iter()
-            .flat_map(|(point, of)| {
-                seeds.iter().map(|seed| Task { point: point.clone(), of: of.clone(), seed: *seed, who })
+            .flat_map(|(point, experiment)| {
+                seeds.iter().map(|seed| Task {
+                    point: point.clone(),
+                    of: experiment.clone(),
+                    seed: *seed,
+                    who,
+                })
             })
             .collect();
         let played = runs::play_all(&tasks, true);
@@ -94,23 +105,23 @@
     }
 }
 
-/// Another build plays the same with its own reducer.
-fn other_lab(lab: &Path, file: &Path, seeds: &str) -> Result<Figures, String> {
-    let dir = std::env::temp_dir().join(format!("dewhead-lab-{}", std::process::id()));
-    let status = Command::new(lab)
+/// Runs the experiment with another build of this program, which uses its own version of the control code.
+fn run_other_build(other_build: &Path, file: &Path, seeds: &str) -> Result<RunFigures, String> {
+    let output_dir = std::env::temp_dir().join(format!("dewhead-lab-{}", std::process::id()));
+    let status = Command::new(other_build)
         .args(["run", "--quiet", "--seeds", seeds, "--out"])
-        .arg(&dir)
+        .arg(&output_dir)
         .arg(file)
         .stdout(std::process::Stdio::null())
         .status()
-        .map_err(|e| format!("{}: {e}", lab.display()))?;
+        .map_err(|e| format!("{}: {e}", other_build.display()))?;
     if status.code().is_none_or(|c| c == 1) {
-        return Err(format!("{}: it ended with {status}", lab.display()));
+        return Err(format!("{}: exited with {status}", other_build.display()));
     }
-    let path = dir.join("runs.jsonl");
+    let path = output_dir.join("runs.jsonl");
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    // The folder is this process's own; if it can't be removed, the next run of this id writes over it.
-    let _ = std::fs::remove_dir_all(&dir);
+    // If the folder can't be removed, a later process with the same id overwrites it.
+    let _ = std::fs::remove_dir_all(&output_dir);
     text.lines()
         .map(|line| {
             let read: Read = serde_json::from_str(line).map_err(|e| format!("{}: {e}", path.display()))?;
--- a/crates/dewhead-lab/src/commands/demo.rs
+++ b/crates/dewhead-lab/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: two real proxies, four nodes and their clients on loopback, to be watched.
+//! `demo`: two real proxies, four nodes and their clients on loopback, with a live display.
 
 use crate::runs;
 use crate::sockets::{self, Programs, Sockets};
@@ -10,14 +10,14 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// Watch two real proxies serve four nodes' clients on loopback.
+/// Run two real proxies with four nodes and their clients on loopback, and show what happens.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 pub struct Demo {
-    /// for how many seconds; 120 if not given
+    /// duration in seconds; 120 if not given
     #[argh(option, default = "120.0")]
     seconds: f64,
-    /// the proxy's binary; the one beside this program if not given
+    /// the proxy's binary; the one next to this program if not given
     #[argh(option)]
     proxy: Option<PathBuf>,
     /// a folder for the proxies' logs
@@ -25,98 +25,104 @@
     logs: Option<PathBuf>,
 }
 
-/// What is shown: four nodes of two speeds, two proxies, and two troubles in the middle.
-fn shown(seconds: f64) -> Result<Experiment, String> {
-    let mut of = Experiment::parse(
+/// The experiment that is run: four nodes of two speeds, two proxies, and two troubles.
+fn demo_experiment(seconds: f64) -> Result<Experiment, String> {
+    let mut experiment = Experiment::parse(
         "name = \"demo\"\nabout = \"a small fleet, a proxy's restart and a node's drain\"",
     )?;
-    of.seconds = seconds;
-    (of.fleet.proxies, of.fleet.nodes) = (2, 4);
-    let trouble = |kind: &str, at: f64, lasts: f64, part: f64| Trouble {
+    experiment.seconds = seconds;
+    (experiment.fleet.proxies, experiment.fleet.nodes) = (2, 4);
+    let new_trouble = |kind: &str, at: f64, duration: f64, fraction: f64| Trouble {
         kind: kind.into(),
         at: at * seconds,
-        duration: lasts * seconds,
-        fraction: part,
+        duration: duration * seconds,
+        fraction,
         magnitude: 4.0,
         at_a_time: 1,
         zone: None,
         subject: None,
     };
-    of.troubles = vec![trouble("restart-stop", 0.35, 0.1, 0.5), trouble("drain", 0.65, 0.1, 0.25)];
-    Ok(of)
+    experiment.troubles =
+        vec![new_trouble("restart-stop", 0.35, 0.1, 0.5), new_trouble("drain", 0.65, 0.1, 0.25)];
+    Ok(experiment)
 }
 
-struct View {
+/// The live display: a bar per node and a status line, or lines of plain text if standard error is not a terminal.
+struct ProgressView {
     bars: Vec<ProgressBar>,
-    line: ProgressBar,
-    marks: usize,
-    plain: bool,
-    next: f64,
+    status_line: ProgressBar,
+    shown_annotations: usize,
+    plain_text: bool,
+    next_print: f64,
 }
 
-impl View {
-    fn new(world: &World) -> View {
-        let plain = !std::io::stderr().is_terminal();
-        let all = MultiProgress::new();
+impl ProgressView {
+    fn new(world: &World) -> ProgressView {
+        let plain_text = !std::io::stderr().is_terminal();
+        let multi_progress = MultiProgress::new();
         let style = |template: &str| {
             ProgressStyle::with_template(template)
                 .unwrap_or_else(|_| ProgressStyle::default_bar())
                 .progress_chars("=> ")
         };
         let bars = (0..world.nodes.len()).map(|n| {
-            let bar = all.add(ProgressBar::new(1000));
+            let bar = multi_progress.add(ProgressBar::new(1000));
             bar.set_style(style("{prefix} [{bar:40}] {msg}"));
             bar.set_prefix(format!("node {n}"));
             bar
         });
         let bars = bars.collect();
-        let line = all.add(ProgressBar::new(1));
-        line.set_style(style("{msg}"));
-        View { bars, line, marks: 0, plain, next: 0.0 }
+        let status_line = multi_progress.add(ProgressBar::new(1));
+        status_line.set_style(style("{msg}"));
+        ProgressView { bars, status_line, shown_annotations: 0, plain_text, next_print: 0.0 }
     }
 
+    /// Prints new annotations and updates the bars and the status line.
     fn show(&mut self, world: &mut World, now: f64) {
-        for (at, what) in &world.service.annotations[self.marks.min(world.service.annotations.len())..] {
-            if self.plain {
+        for (at, what) in
+            &world.service.annotations[self.shown_annotations.min(world.service.annotations.len())..]
+        {
+            if self.plain_text {
                 eprintln!("{at:>7.1} s  {what}");
             } else {
-                self.line.println(format!("{at:>7.1} s  {what}"));
+                self.status_line.println(format!("{at:>7.1} s  {what}"));
             }
         }
-        self.marks = world.service.annotations.len();
+        self.shown_annotations = world.service.annotations.len();
         for (node, bar) in world.nodes.iter().zip(&self.bars) {
-            let able = node.capacity(now).max(1e-9);
-            bar.set_position((node.load() / able * 1000.0).clamp(0.0, 1000.0) as u64);
-            let more = format!(
+            let capacity = node.capacity(now).max(1e-9);
+            bar.set_position((node.load() / capacity * 1000.0).clamp(0.0, 1000.0) as u64);
+            let details = format!(
                 "{:.2} of {:.1} cores, {} connections, {:?}",
                 node.load(),
-                able,
+                capacity,
                 node.connections,
                 node.state
             );
-            bar.set_message(more);
+            bar.set_message(details);
         }
         let proxies: Vec<String> = world.proxies.iter().map(|p| p.connections.to_string()).collect();
-        let c = &world.service.counts;
-        let told = format!(
+        let counts = &world.service.counts;
+        let status = format!(
             "{now:.0} s: connections at the proxies {}; calls {}, completed {}, rejected {}, failed {}, moved {}; breaches {}",
             proxies.join(" + "),
-            c.calls,
-            c.completed,
-            c.rejected,
-            c.failed + c.unanswered,
-            c.moved,
+            counts.calls,
+            counts.completed,
+            counts.rejected,
+            counts.failed + counts.unanswered,
+            counts.moved,
             world.audit.violations.len()
         );
-        if self.plain && now >= self.next {
-            self.next = now + 5.0;
-            eprintln!("{told}");
+        if self.plain_text && now >= self.next_print {
+            self.next_print = now + 5.0;
+            eprintln!("{status}");
         }
-        self.line.set_message(told);
+        self.status_line.set_message(status);
     }
 }
 
 impl Demo {
+    /// Runs the command; returns whether no rule was violated.
     pub fn execute(&self) -> Result<bool, String> {
         if !(5.0..=3600.0).contains(&self.seconds) {
             return Err("--seconds: must be from 5 to 3600".into());
@@ -125,36 +131,36 @@
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
         }
         let proxy = self.proxy.clone().map_or_else(sockets::beside, Ok)?;
-        let began = Instant::now();
-        let who = proxy.display().to_string();
+        let start = Instant::now();
+        let proxy_name = proxy.display().to_string();
         let programs = Programs { proxy, logs: self.logs.clone(), faults: None };
-        let mut host = Sockets::new(&shown(self.seconds)?, 1, programs)?;
-        let mut view = View::new(&host.world);
+        let mut host = Sockets::new(&demo_experiment(self.seconds)?, 1, programs)?;
+        let mut view = ProgressView::new(&host.world);
         host.run(self.seconds, |world, now| view.show(world, now))?;
-        view.bars.iter().chain([&view.line]).for_each(ProgressBar::finish);
+        view.bars.iter().chain([&view.status_line]).for_each(ProgressBar::finish);
         let lateness = host.lateness;
-        let played = sockets::played(&mut host.world, "", 1, who, lateness, began);
-        let (o, c) = (&played.outcome, &played.outcome.counts);
+        let played = sockets::played(&mut host.world, "", 1, proxy_name, lateness, start);
+        let (outcome, counts) = (&played.outcome, &played.outcome.counts);
         println!(
             "{:.0} seconds, {} clients, {} calls: {} completed, {} rejected, {} failed",
             self.seconds,
-            c.clients,
-            c.calls,
-            c.completed,
-            c.rejected,
-            c.failed + c.unanswered
+            counts.clients,
+            counts.calls,
+            counts.completed,
+            counts.rejected,
+            counts.failed + counts.unanswered
         );
         println!(
-            "served well: {:.1} % of the revenue asked for; {:.1} % in the worst ten seconds",
-            o.service * 100.0,
-            o.worst_ten_seconds * 100.0
+            "service: {:.1} % of the requested revenue; {:.1} % in the worst ten seconds",
+            outcome.service * 100.0,
+            outcome.worst_ten_seconds * 100.0
         );
         println!(
-            "set-up: half within {:.0} ms, 99 in a hundred within {:.0} ms",
-            o.setup_times[0] * 1e3,
-            o.setup_times[1] * 1e3
+            "set-up: median {:.0} ms, 99th percentile {:.0} ms",
+            outcome.setup_times[0] * 1e3,
+            outcome.setup_times[1] * 1e3
         );
-        println!("moved {}, broken {}, rules broken: {}", c.moved, c.broken, played.breaches.len());
+        println!("moved {}, broken {}, rules broken: {}", counts.moved, counts.broken, played.breaches.len());
         for breach in &played.breaches {
             runs::tell_breach(breach, "(the demo)", 1, "dewhead");
         }
--- a/crates/dewhead-lab/src/commands/hunt.rs
+++ b/crates/dewhead-lab/src/commands/hunt.rs
@@ -1,4 +1,4 @@
-//! `hunt`: searches the worst days.
+//! `hunt`: searches for combinations of troubles that dewhead handles worst.
 
 use crate::hunt::{self, Find};
 use crate::runs;
@@ -8,72 +8,75 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Search combinations of troubles for the days on which dewhead loses most against the top, and shrink them.
+/// Search for the combinations of troubles under which dewhead loses most against the policy top, and reduce them to
+/// the troubles that matter.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hunt")]
 pub struct Hunt {
-    /// the experiment whose fleet, load and rules are kept; the plain one if not given
+    /// experiment file that gives fleet, load and rules; the default experiment if not given
     #[argh(option)]
     base: Option<PathBuf>,
-    /// for how many minutes; 30 if not given
+    /// duration of the search in minutes; 30 if not given
     #[argh(option, default = "30.0")]
     minutes: f64,
-    /// stop after so many rounds of 16 days, whatever the time, so that the hunt can be repeated exactly
+    /// stop after this number of rounds of 16 combinations instead of by time, so that the search is reproducible
     #[argh(option)]
     rounds: Option<usize>,
-    /// the seed of the search
+    /// seed of the search; 1 if not given
     #[argh(option, default = "1")]
     seed: u64,
-    /// how many of the worst are shrunk and kept
+    /// number of the worst combinations to reduce and write; 3 if not given
     #[argh(option, default = "3")]
     keep: usize,
-    /// where they are written, as worst-1.toml and so on
+    /// folder in which to write them as worst-1.toml and so on; nowhere if not given
     #[argh(option)]
     out: Option<PathBuf>,
 }
 
 impl Hunt {
+    /// Runs the command; returns whether no combination that was found violated a rule.
     pub fn execute(&self) -> Result<bool, String> {
         let base = match &self.base {
             Some(path) => runs::read(path)?,
             None => Experiment::default(),
         };
         let end = Instant::now() + Duration::from_secs_f64((self.minutes * 60.0).clamp(0.0, 1e6));
-        let bar = ProgressBar::new_spinner();
+        let progress = ProgressBar::new_spinner();
         let best = hunt::search(&base, self.seed, |round, played, best| {
             let worst = best.first().map_or(0.0, |f| f.lost);
-            bar.set_message(format!("{played} days played, the worst loses {worst:.3}"));
-            bar.tick();
-            self.rounds.map_or(Instant::now() < end, |most| round < most)
+            progress.set_message(format!("{played} combinations played, the worst loses {worst:.3}"));
+            progress.tick();
+            self.rounds.map_or(Instant::now() < end, |limit| round < limit)
         });
-        bar.finish_and_clear();
-        let mut sound = true;
-        for (n, find) in best.iter().enumerate() {
-            println!("{}", tells(n + 1, find));
-            sound &= find.breaches == 0;
+        progress.finish_and_clear();
+        let mut no_violations = true;
+        for (i, find) in best.iter().enumerate() {
+            println!("{}", summary(i + 1, find));
+            no_violations &= find.breaches == 0;
         }
         if let Some(dir) = &self.out {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-            for (n, find) in best.iter().take(self.keep).enumerate() {
-                let mut small = hunt::shrink(find);
-                let kinds = hunt::kinds(&small.of).join(", ");
-                small.of.name = format!("worst-{}", n + 1);
-                small.of.description = format!(
+            for (i, find) in best.iter().take(self.keep).enumerate() {
+                let mut shrunk = hunt::shrink(find);
+                let kinds = hunt::kinds(&shrunk.of).join(", ");
+                shrunk.of.name = format!("worst-{}", i + 1);
+                shrunk.of.description = format!(
                     "found by a hunt and shrunk: {kinds}; the top reaches {:.3} there and dewhead {:.3}",
-                    small.top, small.service
+                    shrunk.top, shrunk.service
                 );
-                small.of.seeds = vec![small.seed];
-                let text = toml::to_string(&small.of).map_err(|e| e.to_string())?;
-                let path = dir.join(format!("worst-{}.toml", n + 1));
+                shrunk.of.seeds = vec![shrunk.seed];
+                let text = toml::to_string(&shrunk.of).map_err(|e| e.to_string())?;
+                let path = dir.join(format!("worst-{}.toml", i + 1));
                 std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
-                println!("{}: {}", path.display(), tells(n + 1, &small));
+                println!("{}: {}", path.display(), summary(i + 1, &shrunk));
             }
         }
-        Ok(sound)
+        Ok(no_violations)
     }
 }
 
-fn tells(place: usize, find: &Find) -> String {
+/// A found combination as one line of text.
+fn summary(rank: usize, find: &Find) -> String {
     let troubles: Vec<String> = find
         .of
         .troubles
@@ -83,7 +86,7 @@
         })
         .collect();
     format!(
-        "{place}. loses {:.3}: top {:.3}, dewhead {:.3}, breaches {}, load {}; {}",
+        "{rank}. loses {:.3}: top {:.3}, dewhead {:.3}, breaches {}, load {}; {}",
         find.lost,
         find.top,
         find.service,
--- a/crates/dewhead-lab/src/commands/mod.rs
+++ b/crates/dewhead-lab/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `dewhead-lab` and its sub-commands.
 
 mod capacity;
 mod compare;
@@ -15,9 +15,9 @@
 
 use argh::FromArgs;
 
-/// Experiments on dewhead proxies in a world of the project's own.
+/// Run experiments on dewhead proxies with modelled clients, servers and troubles.
 #[derive(FromArgs)]
-struct Line {
+struct CommandLine {
     #[argh(subcommand)]
     command: Command,
 }
@@ -39,10 +39,11 @@
     StubProxies(stub_proxies::StubProxies),
 }
 
-/// Runs the program; what it returns is the exit code.
+/// Runs the sub-command given on the command line. Returns the exit code: 0 for success, 2 if a command found a
+/// violation, 1 for an error.
 pub fn run_command_line() -> i32 {
-    let line: Line = argh::from_env();
-    let outcome = match line.command {
+    let command_line: CommandLine = argh::from_env();
+    let outcome = match command_line.command {
         Command::Run(run) => run.execute(),
         Command::Compare(compare) => compare.execute(),
         Command::Demo(demo) => demo.execute(),
@@ -59,8 +60,8 @@
     match outcome {
         Ok(true) => 0,
         Ok(false) => 2,
-        Err(fault) => {
-            eprintln!("dewhead-lab: {fault}");
+        Err(error) => {
+            eprintln!("dewhead-lab: {error}");
             1
         }
     }
--- a/crates/dewhead-lab/src/commands/replay.rs
+++ b/crates/dewhead-lab/src/commands/replay.rs
@@ -1,37 +1,38 @@
-//! `replay`: one run again, with all that was seen of it.
+//! `replay`: plays one run again and prints its details.
 
 use super::run::print_run;
 use crate::runs::{self, Task};
 use argh::FromArgs;
 use std::path::PathBuf;
 
-/// Play one run again and tell its breaches, its marks and its digest.
+/// Play one run again and print its violations of rules, its annotations and its digest.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "replay")]
 pub struct Replay {
-    /// the experiment's file
+    /// experiment file
     #[argh(positional)]
     file: PathBuf,
-    /// the seed
+    /// seed of the run
     #[argh(option)]
     seed: u64,
-    /// who decides
-    #[argh(option, default = "String::from(\"dewhead\")")]
-    who: String,
-    /// which point of the matrix, from 0
+    /// policy that places connections (see run --who); dewhead if not given
+    #[argh(option, long = "who", default = "String::from(\"dewhead\")")]
+    policy: String,
+    /// index of the point of the matrix, from 0; 0 if not given
     #[argh(option, default = "0")]
     point: usize,
 }
 
 impl Replay {
+    /// Runs the command; returns whether no rule was violated.
     pub fn execute(&self) -> Result<bool, String> {
-        let of = runs::read(&self.file)?;
-        let points = of.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
+        let experiment = runs::read(&self.file)?;
+        let points = experiment.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
         let (point, of) = points.get(self.point).ok_or("--point: the matrix has fewer points")?.clone();
-        let played = runs::play(&Task { point, of, seed: self.seed, who: runs::who(&self.who)? });
+        let played = runs::play(&Task { point, of, seed: self.seed, who: runs::who(&self.policy)? });
         print_run(&played);
-        for (at, what) in &played.marks {
-            println!("{at:>10.3}  {what}");
+        for (time, annotation) in &played.marks {
+            println!("{time:>10.3}  {annotation}");
         }
         for (second, (wanted, served)) in played.outcome.demand.iter().zip(&played.outcome.served).enumerate()
         {
@@ -41,7 +42,7 @@
         }
         println!("digest {}, {} events", played.digest, played.events);
         for breach in &played.breaches {
-            runs::tell_breach(breach, &self.file.display().to_string(), self.seed, &self.who);
+            runs::tell_breach(breach, &self.file.display().to_string(), self.seed, &self.policy);
         }
         Ok(played.breaches.is_empty())
     }
--- a/crates/dewhead-lab/src/commands/report.rs
+++ b/crates/dewhead-lab/src/commands/report.rs
@@ -1,19 +1,20 @@
-//! `report`: a page of what runs came to.
+//! `report`: makes an HTML page of the results of runs.
 
 use crate::report::{self, Run};
 use argh::FromArgs;
 use std::path::PathBuf;
 
-/// Make one self-contained page, DIR/report.html, of the runs that were written to DIR.
+/// Make a self-contained HTML page, DIR/report.html, of the runs written to DIR.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "report")]
 pub struct Report {
-    /// the folder that run --out wrote
+    /// folder that run --out wrote
     #[argh(positional)]
     dir: PathBuf,
 }
 
 impl Report {
+    /// Runs the command; returns true.
     pub fn execute(&self) -> Result<bool, String> {
         let path = self.dir.join("runs.jsonl");
         let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -25,9 +26,9 @@
             })
             .collect::<Result<_, _>>()?;
         let page = report::page(&runs)?;
-        let to = self.dir.join("report.html");
-        std::fs::write(&to, page).map_err(|e| format!("{}: {e}", to.display()))?;
-        println!("{}", to.display());
+        let page_path = self.dir.join("report.html");
+        std::fs::write(&page_path, page).map_err(|e| format!("{}: {e}", page_path.display()))?;
+        println!("{}", page_path.display());
         Ok(true)
     }
 }
--- a/crates/dewhead-lab/src/commands/run.rs
+++ b/crates/dewhead-lab/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: plays an experiment over its seeds and its matrix.
+//! `run`: plays an experiment for each seed and each point of its matrix.
 
 use crate::runs::{self, Played, Task};
 use crate::simulated::Who;
@@ -7,50 +7,57 @@
 use dewhead_faults::plan::Plan;
 use std::path::PathBuf;
 
-/// Play an experiment; exit code 2 where a rule was broken.
+/// Play an experiment. Exit code 2 if a rule was violated.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 pub struct Run {
-    /// the experiment's file
+    /// experiment file
     #[argh(positional)]
     file: PathBuf,
-    /// seeds: 3, 1..10 or 1,4,9; the file's if not given
+    /// seeds: 3, 1..10 or 1,4,9; those in the file if not given
     #[argh(option)]
     seeds: Option<String>,
-    /// who decides: dewhead (if not given), random, round-robin, least-own, two-choices or top
-    #[argh(option, default = "String::from(\"dewhead\")")]
-    who: String,
-    /// where it is played: virtual (in simulated time, if not given) or sockets
+    /// policy that places connections: dewhead (if not given), random, round-robin, least-own, two-choices or top
+    #[argh(option, long = "who", default = "String::from(\"dewhead\")")]
+    policy: String,
+    /// where to play: virtual (simulated time, if not given) or sockets
     #[argh(option, default = "String::from(\"virtual\")")]
     host: String,
-    /// on sockets: the proxy's binary; the one beside this program if not given
+    /// on sockets: the proxy's binary; the one next to this program if not given
     #[argh(option)]
     proxy: Option<PathBuf>,
     /// on sockets: a folder for the proxies' logs
     #[argh(option)]
     logs: Option<PathBuf>,
-    /// on sockets: system calls that fail in the proxies' processes, as short=0.3,interrupt=0.05,accept=0.05,socket=0.02,
-    /// connect=0.05,open=0.2,step_from=15,step_by=3600,seed=1; probabilities, and seconds from the start
+    /// on sockets: system calls that fail in the proxies' processes, as
+    /// short=0.3,interrupt=0.05,accept=0.05,socket=0.02, connect=0.05,open=0.2,step_from=15,step_by=3600,seed=1;
+    /// probabilities, and seconds from the start
     #[argh(option)]
     faults: Option<Plan>,
-    /// where to write the runs as JSON lines
+    /// folder in which to write the runs as JSON lines; nowhere if not given
     #[argh(option)]
     out: Option<PathBuf>,
-    /// say nothing but breaches
+    /// print nothing but violations of rules
     #[argh(switch, short = 'q')]
     quiet: bool,
 }
 
 impl Run {
+    /// Runs the command; returns whether no rule was violated.
     pub fn execute(&self) -> Result<bool, String> {
-        let of = runs::read(&self.file)?;
-        let points = of.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
-        let seeds = self.seeds.as_deref().map_or(Ok(of.seeds.clone()), runs::seeds)?;
-        let who = runs::who(&self.who)?;
+        let experiment = runs::read(&self.file)?;
+        let points = experiment.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
+        let seeds = self.seeds.as_deref().map_or(Ok(experiment.seeds.clone()), runs::seeds)?;
+        let who = runs::who(&self.policy)?;
         let tasks: Vec<Task> = points
             .iter()
-            .flat_map(|(point, of)| {
-                seeds.iter().map(|seed| Task { point: point.clone(), of: of.clone(), seed: *seed, who })
+            .flat_map(|(point, experiment)| {
+                seeds.iter().map(|seed| Task {
+                    point: point.clone(),
+                    of: experiment.clone(),
+                    seed: *seed,
+                    who,
+                })
             })
             .collect();
         let played = match self.host.as_str() {
@@ -62,13 +69,13 @@
             runs::write(dir, &points, &played)?;
         }
         if !self.quiet {
-            println!("{}: {}", of.name, of.description);
+            println!("{}: {}", experiment.name, experiment.description);
             played.iter().for_each(print_run);
         }
         let file = self.file.display().to_string();
-        for one in &played {
-            for breach in &one.breaches {
-                runs::tell_breach(breach, &file, one.seed, &one.who);
+        for run in &played {
+            for breach in &run.breaches {
+                runs::tell_breach(breach, &file, run.seed, &run.who);
             }
         }
         Ok(played.iter().all(|p| p.breaches.is_empty()))
@@ -76,7 +83,7 @@
 }
 
 impl Run {
-    /// One after the other, as each wants the machine for itself.
+    /// Plays the tasks one after the other, because each needs the whole machine.
     fn on_sockets(&self, tasks: &[Task]) -> Result<Vec<Played>, String> {
         if tasks.iter().any(|t| t.who != Who::Dewhead) {
             return Err("--who: on sockets the proxy decides; name a build with --proxy".into());
@@ -89,29 +96,29 @@
             Ok::<_, String>(FaultInjection { library: sockets::faults_library()?, plan: *plan })
         };
         let faults = self.faults.as_ref().map(inject).transpose()?;
-        let one = |task: &Task| {
+        let play_task = |task: &Task| {
             let programs = Programs { proxy: proxy.clone(), logs: self.logs.clone(), faults: faults.clone() };
             let played = sockets::play(&task.of, &task.point, task.seed, programs)?;
             if played.late {
                 eprintln!(
-                    "seed {}: the lab came {:.3} s late at the worst, so that times say little",
+                    "seed {}: the lab was up to {:.3} s late, so that its times are unreliable",
                     task.seed, played.lateness
                 );
             }
             Ok(played)
         };
-        tasks.iter().map(one).collect()
+        tasks.iter().map(play_task).collect()
     }
 }
 
-/// A run in one line.
-pub fn print_run(one: &Played) {
-    let (o, c) = (&one.outcome, &one.outcome.counts);
-    let point = if one.point.is_empty() { String::new() } else { format!("  [{}]", one.point) };
+/// Prints the outcome of a run as one line.
+pub fn print_run(run: &Played) {
+    let (o, c) = (&run.outcome, &run.outcome.counts);
+    let point = if run.point.is_empty() { String::new() } else { format!("  [{}]", run.point) };
     println!(
         "seed {:>3}  service {:.4}  worst 10 s {:.3}  worst type {:.3}  set-up p50 {:>4.0} ms p99 {:>5.0} ms  \
          completed {}  rejected {}  failed {}  moved {}  broken {}  fallen {}  breaches {}  {:.0} s/s{point}",
-        one.seed,
+        run.seed,
         o.service,
         o.worst_ten_seconds,
         o.worst_type,
@@ -123,7 +130,7 @@
         c.moved,
         c.broken,
         c.nodes_crashed,
-        one.breaches.len(),
-        one.outcome.demand.len() as f64 / one.took.max(1e-9),
+        run.breaches.len(),
+        run.outcome.demand.len() as f64 / run.took.max(1e-9),
     );
 }
--- a/crates/dewhead-lab/src/commands/soak.rs
+++ b/crates/dewhead-lab/src/commands/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: real processes under overlapping troubles and failing system calls, over many seeds.
+//! `soak`: runs real proxies under overlapping troubles and failing system calls, for many seeds.
 
 use crate::runs;
 use crate::soak::{Day, Size, Verdict};
@@ -6,35 +6,36 @@
 use argh::FromArgs;
 use std::path::PathBuf;
 
-/// Soak real proxies: two or three troubles that overlap, and system calls that fail, drawn for each seed. Exit code 2
-/// where a rule was broken, the proxies' own guard found a promise broken, or a process panicked.
+/// Run real proxies under two or three overlapping troubles and failing system calls, drawn for each seed. Exit code 2
+/// if a rule was violated, a proxy's own checks reported a violation, or a process panicked.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "soak")]
 pub struct Soak {
     /// seeds: 3, 1..10 or 1,4,9; 1..5 if not given
     #[argh(option, default = "String::from(\"1..5\")")]
     seeds: String,
-    /// how many proxies; 12 if not given
+    /// number of proxies; 12 if not given
     #[argh(option, default = "12")]
     proxies: usize,
-    /// how many nodes; 16 if not given
+    /// number of nodes; 16 if not given
     #[argh(option, default = "16")]
     nodes: usize,
-    /// how long a day lasts, in seconds; 20 if not given
+    /// duration of each run in seconds; 20 if not given
     #[argh(option, default = "20.0")]
     seconds: f64,
-    /// the proxy's binary; the one beside this program if not given
+    /// the proxy's binary; the one next to this program if not given
     #[argh(option)]
     proxy: Option<PathBuf>,
-    /// a folder for the proxies' logs, one below it for each seed; a temporary one if not given
+    /// a folder for the proxies' logs, with a subfolder for each seed; a temporary one if not given
     #[argh(option)]
     logs: Option<PathBuf>,
-    /// print the drawn days as experiments, and play none
+    /// print the drawn experiments without playing them
     #[argh(switch)]
     draw: bool,
 }
 
 impl Soak {
+    /// Runs the command; returns whether all seeds passed.
     pub fn execute(&self) -> Result<bool, String> {
         let size = Size { proxies: self.proxies, nodes: self.nodes, seconds: self.seconds };
         let days: Vec<Day> =
@@ -47,24 +48,25 @@
         }
         let proxy = self.proxy.clone().map_or_else(sockets::beside, Ok)?;
         let library = sockets::faults_library()?;
-        let temporary = std::env::temp_dir().join(format!("dewhead-soak-{}", std::process::id()));
-        let logs = self.logs.as_ref().unwrap_or(&temporary);
-        let mut sound = true;
+        let temporary_logs = std::env::temp_dir().join(format!("dewhead-soak-{}", std::process::id()));
+        let logs = self.logs.as_ref().unwrap_or(&temporary_logs);
+        let mut all_sound = true;
         for day in &days {
             let verdict = day.play(&proxy, &library, &logs.join(day.seed.to_string()))?;
             print_verdict(&verdict);
-            sound &= verdict.is_sound();
+            all_sound &= verdict.is_sound();
         }
         if self.logs.is_none() {
-            // What is left of it is in a folder for such.
-            let _ = std::fs::remove_dir_all(&temporary);
+            // An error is ignored: the folder is in the system's folder for temporary files.
+            let _ = std::fs::remove_dir_all(&temporary_logs);
         }
-        Ok(sound)
+        Ok(all_sound)
     }
 }
 
+/// Prints the outcome of one seed.
 fn print_verdict(verdict: &Verdict) {
-    let late = if verdict.is_late() { "  LATE, says little" } else { "" };
+    let late = if verdict.is_late() { "  LATE, times unreliable" } else { "" };
     println!(
         "seed {:>3}{late}  service {:.3}  completed {}  unanswered {}  breaches {}  violations and panics {}  lab late {:.3} s  \
          {}  --faults {}",
@@ -84,8 +86,8 @@
             "  breach of {:?} at {:.3} s, proxy {}, call {call}: {}",
             breach.rule, breach.at, breach.proxy, breach.description
         );
-        for (at, what) in &breach.trace {
-            println!("    {at:>10.4}  {what}");
+        for (time, annotation) in &breach.trace {
+            println!("    {time:>10.4}  {annotation}");
         }
     }
     verdict.faults.iter().for_each(|line| println!("  {line}"));
--- a/crates/dewhead-lab/src/commands/trouble_kinds.rs
+++ b/crates/dewhead-lab/src/commands/trouble_kinds.rs
@@ -1,4 +1,4 @@
-//! `kinds`: the troubles that there are.
+//! `kinds`: lists the kinds of trouble.
 
 use argh::FromArgs;
 use dewhead_world::troubles::TROUBLE_KINDS;
@@ -9,6 +9,7 @@
 pub struct TroubleKinds {}
 
 impl TroubleKinds {
+    /// Runs the command; returns true.
     pub fn execute(&self) -> Result<bool, String> {
         for kind in TROUBLE_KINDS {
             println!("{:<18} {}", kind.name, kind.description);
