--- a/crates/dewhead-faults-preload/src/lib.rs
+++ b/crates/dewhead-faults-preload/src/lib.rs
@@ -1,7 +1,7 @@
-//! Fault injection for real processes. Loaded with `LD_PRELOAD`, this library stands before the C library's system
-//! call wrappers and makes some calls fail, or transfer less than asked for, in ways that Linux documents.
+//! Fault injection for real processes. Loaded with `LD_PRELOAD`, this library replaces some of the C library's system
+//! call wrappers and makes calls fail, or transfer fewer bytes than requested, in ways that Linux documents.
 //!
-//! What fails, and how often, is told by the environment variable [`dewhead_faults::plan::ENVIRONMENT_VARIABLE`]. Without it every
-//! call goes through. It is meant for this project's own test processes and is never part of a deployment.
+//! The environment variable [`dewhead_faults::plan::ENVIRONMENT_VARIABLE`] sets which calls fail and how often. Without
+//! it no call is changed. The library is for this project's test processes and is never part of a deployment.
 
 pub mod hooks;
--- a/crates/dewhead-faults/src/lib.rs
+++ b/crates/dewhead-faults/src/lib.rs
@@ -1,6 +1,6 @@
-//! Fault injection for real processes: what is to fail, as a [`plan::Plan`] that travels in an environment variable.
+//! Fault injection for real processes: a [`plan::Plan`] of which system calls fail, passed in an environment variable.
 //!
-//! The library that carries a plan out is `dewhead-faults-preload`; it is a package of its own so that no program that
-//! merely writes plans has its own system calls replaced.
+//! The library that injects the faults is `dewhead-faults-preload`. It is a separate package so that a program that
+//! only writes plans does not get its own system calls replaced.
 
 pub mod plan;
--- a/crates/dewhead-faults/src/plan.rs
+++ b/crates/dewhead-faults/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults a process is to meet: parsed from its environment, written by whoever starts it.
+//! Which faults are injected into a process: written by its parent process and parsed from its environment.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,12 +6,12 @@
 /// The environment variable that holds a [`Plan`].
 pub const ENVIRONMENT_VARIABLE: &str = "DEWHEAD_FAULTS";
 
-/// A step of the wall clock, as an administrator or a time service makes one. Monotonic clocks do not see it.
+/// A step of the wall clock, as caused by an administrator or a time service. Monotonic clocks are not affected.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClockStep {
-    /// Unix time from which on the clock is wrong, in seconds.
+    /// Unix time at which the step happens, in seconds.
     pub from: f64,
-    /// By how much, in seconds; negative for a step back.
+    /// Size of the step in seconds; negative for a step back.
     pub by: f64,
 }
 
@@ -20,32 +20,32 @@
 pub struct Plan {
     /// Seed of the random choices.
     pub seed: u64,
-    /// Reads and writes on sockets that transfer less than they could.
+    /// Reads and writes on sockets transfer fewer bytes than they could.
     pub short: f64,
-    /// Reads, writes and waits that end with `EINTR`.
+    /// Reads and writes on sockets and `epoll_wait` fail with `EINTR`.
     pub interrupt: f64,
-    /// `accept` fails for a moment.
+    /// `accept` fails with a transient error.
     pub accept: f64,
-    /// `socket` fails for a moment.
+    /// `socket` fails with a transient error.
     pub socket: f64,
-    /// `connect` fails for a moment.
+    /// `connect` fails with a transient error.
     pub connect: f64,
     /// Opening a file for reading fails with `EIO`.
     pub open: f64,
     /// Reads and writes on a connection that was reset end with `ETIMEDOUT` or `EHOSTUNREACH` instead.
     pub unreachable: f64,
-    /// The wall clock's step; none where `by` is 0.
+    /// The step of the wall clock; none if `by` is 0.
     pub step: ClockStep,
 }
 
-/// What is wrong with a written plan.
+/// Why a plan could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanError {
     /// An entry is not of the form `name=number`.
     Malformed(String),
     /// There is no fault of this name.
     UnknownName(String),
-    /// A probability lies outside 0 to 1.
+    /// A probability is outside 0 to 1.
     OutOfRange(String),
 }
 
@@ -64,7 +64,7 @@
 impl FromStr for Plan {
     type Err = PlanError;
 
-    /// Reads `name=number` entries separated by commas; names are those of the fields, `step_from` and `step_by`.
+    /// Parses `name=number` entries separated by commas. Names are those of the fields, `step_from` and `step_by`.
     fn from_str(text: &str) -> Result<Plan, PlanError> {
         let mut plan = Plan::default();
         for entry in text.split(',').filter(|entry| !entry.is_empty()) {
@@ -93,7 +93,7 @@
 }
 
 impl fmt::Display for Plan {
-    /// In the form that `from_str` reads.
+    /// Writes the form that `from_str` parses.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "seed={},short={},interrupt={}", self.seed, self.short, self.interrupt)?;
         write!(f, ",accept={},socket={},connect={}", self.accept, self.socket, self.connect)?;
@@ -103,6 +103,7 @@
 }
 
 impl Plan {
+    /// The probability of this name, to be set.
     fn probability(&mut self, name: &str) -> Option<&mut f64> {
         match name {
             "short" => Some(&mut self.short),
