--- a/crates/dewhead-lab/tests/scale.rs
+++ b/crates/dewhead-lab/tests/scale.rs
@@ -1,5 +1,6 @@
-//! What the capacity page rests on, counted by work alone: no time, and the same verdict each time. The shipped control code of
-//! some proxies against a list kept here; each claim is shown to fail on a planted fault.
+//! Tests of the claims behind docs/CAPACITY.md, and of plans, targets and fits. The shipped control code of some
+//! proxies is fed by a model of discovery; lines, bytes, entries and allocations are counted instead of time, so that
+//! the outcome is the same in every run. Each claim is also shown to fail when a fault is planted in the model.
 
 use dewhead_lab::scale::stub_proxy::scale_settings;
 use dewhead_lab::scale::{capacity, fit, plan::Plan};
@@ -10,46 +11,49 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-/// Counts what each thread allocates.
-struct Counting;
+/// Counts allocations and allocated bytes of each thread.
+struct CountingAllocator;
 
 thread_local! {
-    static ALLOCATED: Cell<(u64, u64)> = const { Cell::new((0, 0)) };
+    static ALLOCATIONS_AND_BYTES: Cell<(u64, u64)> = const { Cell::new((0, 0)) };
 }
 
-// Hands everything on to the system's own, and counts.
-unsafe impl GlobalAlloc for Counting {
+// Passes every call on to the system's allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        let _ = ALLOCATED.try_with(|a| a.set((a.get().0 + 1, a.get().1 + layout.size() as u64)));
+        let _ = ALLOCATIONS_AND_BYTES.try_with(|a| a.set((a.get().0 + 1, a.get().1 + layout.size() as u64)));
         System.alloc(layout)
     }
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        System.dealloc(at, layout);
+    unsafe fn dealloc(&self, address: *mut u8, layout: Layout) {
+        System.dealloc(address, layout);
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// A fault planted in the stand-in, or none.
+/// A fault planted in the model of discovery.
 #[derive(Clone, Copy, PartialEq)]
-enum Fault {
+enum PlantedFault {
     None,
-    /// Each change is written as the whole list.
-    WholeForChange,
-    /// What changed since a version is not looked for: whoever comes back gets all.
-    WholeForReturn,
-    /// Each proxy is told of each change as often as there are proxies.
-    Echoes,
+    /// Each change is sent as the full list.
+    FullListForChange,
+    /// A proxy that reconnects gets the full list instead of the changes since its version.
+    FullListForReconnect,
+    /// Each change is sent to each proxy as often as there are proxies.
+    DuplicateLines,
 }
 
+/// Proxies and a model of the discovery service that they watch.
 struct Fleet {
     proxies: Vec<Reducer>,
+    /// Name, health and version of the last change of each server.
     servers: Vec<(String, &'static str, u64)>,
     version: u64,
-    fault: Fault,
+    fault: PlantedFault,
     now: f64,
-    /// Since counted: lines and bytes written, entries in them, allocations and their bytes in proxies' steps.
+    /// Counts since the last reset: lines and bytes sent, entries in them, allocations and allocated bytes in the
+    /// proxies' steps.
     lines: u64,
     bytes: u64,
     entries: u64,
@@ -58,16 +62,16 @@
 }
 
 impl Fleet {
-    fn new(proxies: usize, servers: usize, fault: Fault) -> Fleet {
-        let at = SocketAddr::from(([127, 0, 0, 1], 8500));
-        let made = (0..proxies).map(|n| {
+    fn new(proxies: usize, servers: usize, fault: PlantedFault) -> Fleet {
+        let discovery = SocketAddr::from(([127, 0, 0, 1], 8500));
+        let reducers = (0..proxies).map(|n| {
             let startup = Startup::read(&scale_settings(n, proxies).unwrap()).unwrap();
-            Reducer::new(1000.0, startup, n as u128, at, 256, &Value::Null)
+            Reducer::new(1000.0, startup, n as u128, discovery, 256, &Value::Null)
         });
-        let named = (0..servers).map(|n| (format!("s-{n:08x}"), "ready", 1));
+        let named_servers = (0..servers).map(|n| (format!("s-{n:08x}"), "ready", 1));
         let mut fleet = Fleet {
-            proxies: made.collect(),
-            servers: named.collect(),
+            proxies: reducers.collect(),
+            servers: named_servers.collect(),
             version: 1,
             fault,
             now: 1000.0,
@@ -77,163 +81,178 @@
             allocations: 0,
             allocated: 0,
         };
-        (0..proxies).for_each(|at| fleet.open(at));
+        (0..proxies).for_each(|i| fleet.answer_watch(i));
         fleet
     }
 
+    /// Sets the counts to zero.
     fn reset(&mut self) {
         (self.lines, self.bytes, self.entries, self.allocations, self.allocated) = (0, 0, 0, 0, 0);
     }
 
-    fn step(&mut self, at: usize, event: Event) {
-        let before = ALLOCATED.get();
-        self.proxies[at].step(self.now, event);
-        let after = ALLOCATED.get();
+    /// Passes an event to a proxy and counts what it allocates.
+    fn step(&mut self, i: usize, event: Event) {
+        let before = ALLOCATIONS_AND_BYTES.get();
+        self.proxies[i].step(self.now, event);
+        let after = ALLOCATIONS_AND_BYTES.get();
         self.allocations += after.0 - before.0;
         self.allocated += after.1 - before.1;
     }
 
-    fn line(&self, since: u64, whole: bool) -> (String, u64) {
+    /// A line of the watch with the full list or the servers changed after a version, and its number of entries.
+    fn line(&self, since: u64, full: bool) -> (String, u64) {
         let hosts: Vec<Value> = self
             .servers
             .iter()
-            .filter(|(_, _, changed)| whole || *changed > since)
+            .filter(|(_, _, changed)| full || *changed > since)
             .map(|(name, health, _)| {
                 json!({"host": name, "dial": "127.0.0.1:9000", "site": "a", "class": "m", "block": 1, "health": health,
                        "share": 1.0, "born_ms": 0})
             })
             .collect();
         let entries = hosts.len() as u64;
-        (json!({"seq": self.version, "whole": whole, "hosts": hosts}).to_string() + "\n", entries)
+        (json!({"seq": self.version, "whole": full, "hosts": hosts}).to_string() + "\n", entries)
     }
 
-    fn write(&mut self, at: usize, (line, entries): &(String, u64)) {
+    /// Sends a line to a proxy and counts it.
+    fn write(&mut self, i: usize, (line, entries): &(String, u64)) {
         self.lines += 1;
         self.bytes += line.len() as u64;
         self.entries += entries;
-        self.step(at, Event::WatchBytes(line.as_bytes()));
+        self.step(i, Event::WatchBytes(line.as_bytes()));
     }
 
-    /// Answers the call that the proxy has made, by the version that it names.
-    fn open(&mut self, at: usize) {
-        let asked = self.proxies[at].take_effects().into_iter().find_map(|e| match e {
+    /// Answers the watch that a proxy has opened, from the version that it names.
+    fn answer_watch(&mut self, i: usize) {
+        let since_version = self.proxies[i].take_effects().into_iter().find_map(|e| match e {
             Effect::OpenWatch(_, since) => Some(since),
             _ => None,
         });
-        let since = asked.expect("it asks");
-        self.step(at, Event::WatchOpened);
-        self.step(at, Event::WatchBytes(b"HTTP/1.1 200 OK\r\n\r\n"));
-        let whole = since == 0 || self.fault == Fault::WholeForReturn;
-        let line = self.line(since, whole);
-        self.write(at, &line);
+        let since = since_version.expect("the proxy opens a watch");
+        self.step(i, Event::WatchOpened);
+        self.step(i, Event::WatchBytes(b"HTTP/1.1 200 OK\r\n\r\n"));
+        let full = since == 0 || self.fault == PlantedFault::FullListForReconnect;
+        let line = self.line(since, full);
+        self.write(i, &line);
     }
 
+    /// Toggles a server between ready and draining and sends the change to all proxies.
     fn change(&mut self, server: usize) {
         self.version += 1;
         let entry = &mut self.servers[server];
         entry.1 = if entry.1 == "ready" { "draining" } else { "ready" };
         entry.2 = self.version;
-        let line = self.line(self.version - 1, self.fault == Fault::WholeForChange);
-        let times = if self.fault == Fault::Echoes { self.proxies.len() } else { 1 };
-        for at in 0..self.proxies.len() {
-            (0..times).for_each(|_| self.write(at, &line));
+        let line = self.line(self.version - 1, self.fault == PlantedFault::FullListForChange);
+        let copies = if self.fault == PlantedFault::DuplicateLines { self.proxies.len() } else { 1 };
+        for i in 0..self.proxies.len() {
+            (0..copies).for_each(|_| self.write(i, &line));
         }
     }
 
-    /// Each proxy loses its watch and asks again.
-    fn lose_all(&mut self) {
-        for at in 0..self.proxies.len() {
-            self.step(at, Event::WatchLost);
-            // Long past any pause.
-            self.proxies[at].set_poll_times(self.now + 10.0, 0.0);
-            self.proxies[at].step(self.now + 10.0, Event::Tick);
-            self.open(at);
+    /// Each proxy loses its watch and opens a new one.
+    fn reconnect_all(&mut self) {
+        for i in 0..self.proxies.len() {
+            self.step(i, Event::WatchLost);
+            // 10 s is longer than any pause before a reconnect.
+            self.proxies[i].set_poll_times(self.now + 10.0, 0.0);
+            self.proxies[i].step(self.now + 10.0, Event::Tick);
+            self.answer_watch(i);
         }
         self.now += 10.0;
     }
 
-    fn all_hold(&self) -> bool {
+    /// Whether every proxy has the current version of the list.
+    fn all_up_to_date(&self) -> bool {
         self.proxies.iter().all(|p| p.list_version() == self.version)
     }
 }
 
-/// A proxy's lines, bytes and entries for one change.
-fn a_change(proxies: usize, servers: usize, fault: Fault) -> (f64, f64, f64, f64) {
+/// Lines, bytes, entries and allocations per proxy and change.
+fn cost_per_change(proxies: usize, servers: usize, fault: PlantedFault) -> (f64, f64, f64, f64) {
     let mut fleet = Fleet::new(proxies, servers, fault);
     fleet.change(0);
     fleet.reset();
     (0..8).for_each(|n| fleet.change(n % servers));
-    assert!(fleet.all_hold());
-    let each = 8.0 * proxies as f64;
-    let all = [fleet.lines, fleet.bytes, fleet.entries, fleet.allocations].map(|x| x as f64 / each);
-    (all[0], all[1], all[2], all[3])
+    assert!(fleet.all_up_to_date());
+    let proxy_changes = 8.0 * proxies as f64;
+    let costs =
+        [fleet.lines, fleet.bytes, fleet.entries, fleet.allocations].map(|x| x as f64 / proxy_changes);
+    (costs[0], costs[1], costs[2], costs[3])
 }
 
-/// Claim: what a change costs a proxy does not grow with the number of proxies.
-fn grows_with_proxies(fault: Fault) -> bool {
-    a_change(40, 50, fault).0 > a_change(4, 50, fault).0
+/// Whether the cost of a change per proxy grows with the number of proxies.
+fn cost_grows_with_proxies(fault: PlantedFault) -> bool {
+    cost_per_change(40, 50, fault).0 > cost_per_change(4, 50, fault).0
 }
 
-/// Claim: a change costs what changed, not the whole list: bytes, entries and allocations.
-fn grows_with_servers(fault: Fault) -> bool {
-    let (few, many) = (a_change(4, 50, fault), a_change(4, 2000, fault));
-    many.1 > 1.2 * few.1 || many.2 > few.2 || many.3 > 1.5 * few.3 + 4.0
+/// Whether bytes, entries or allocations per change grow with the length of the list.
+fn cost_grows_with_servers(fault: PlantedFault) -> bool {
+    let (small, large) = (cost_per_change(4, 50, fault), cost_per_change(4, 2000, fault));
+    large.1 > 1.2 * small.1 || large.2 > small.2 || large.3 > 1.5 * small.3 + 4.0
 }
 
-/// Claim: a return costs what changed meanwhile.
-fn a_return_costs_the_list(fault: Fault) -> bool {
+/// Whether a reconnect costs more than the entries that changed while the proxy was disconnected.
+fn reconnect_costs_full_list(fault: PlantedFault) -> bool {
     let mut fleet = Fleet::new(4, 500, fault);
     fleet.change(3);
-    fleet.lose_all();
+    fleet.reconnect_all();
     fleet.reset();
-    // Two servers change while nobody follows.
-    let held = fleet.version;
-    fleet.servers[1] = (fleet.servers[1].0.clone(), "draining", held + 1);
-    fleet.servers[2] = (fleet.servers[2].0.clone(), "draining", held + 2);
-    fleet.version = held + 2;
-    fleet.lose_all();
-    assert!(fleet.all_hold());
+    // Two servers change while no proxy is connected.
+    let version_before = fleet.version;
+    fleet.servers[1] = (fleet.servers[1].0.clone(), "draining", version_before + 1);
+    fleet.servers[2] = (fleet.servers[2].0.clone(), "draining", version_before + 2);
+    fleet.version = version_before + 2;
+    fleet.reconnect_all();
+    assert!(fleet.all_up_to_date());
     fleet.entries > 2 * 4
 }
 
 #[test]
-fn a_change_costs_each_proxy_the_same_however_many_there_are() {
-    assert!(!grows_with_proxies(Fault::None));
-    assert!(grows_with_proxies(Fault::Echoes), "the planted fault is found");
+fn cost_of_a_change_per_proxy_is_independent_of_the_number_of_proxies() {
+    assert!(!cost_grows_with_proxies(PlantedFault::None));
+    assert!(cost_grows_with_proxies(PlantedFault::DuplicateLines), "the planted fault is not detected");
 }
 
 #[test]
-fn a_change_costs_what_changed_however_many_servers_there_are() {
-    println!("{:?} {:?}", a_change(4, 50, Fault::None), a_change(4, 2000, Fault::None));
-    assert!(!grows_with_servers(Fault::None));
-    assert!(grows_with_servers(Fault::WholeForChange), "the planted fault is found");
+fn cost_of_a_change_is_independent_of_the_number_of_servers() {
+    println!(
+        "{:?} {:?}",
+        cost_per_change(4, 50, PlantedFault::None),
+        cost_per_change(4, 2000, PlantedFault::None)
+    );
+    assert!(!cost_grows_with_servers(PlantedFault::None));
+    assert!(cost_grows_with_servers(PlantedFault::FullListForChange), "the planted fault is not detected");
 }
 
 #[test]
-fn a_return_costs_what_changed_meanwhile() {
-    assert!(!a_return_costs_the_list(Fault::None));
-    assert!(a_return_costs_the_list(Fault::WholeForReturn), "the planted fault is found");
+fn cost_of_a_reconnect_depends_on_the_missed_changes() {
+    assert!(!reconnect_costs_full_list(PlantedFault::None));
+    assert!(
+        reconnect_costs_full_list(PlantedFault::FullListForReconnect),
+        "the planted fault is not detected"
+    );
 }
 
-/// What a proxy allocates for a whole list grows evenly with it: ten times the servers, ten times the bytes.
+/// Ten times the servers cost about ten times the allocations and bytes.
 #[test]
-fn a_whole_list_costs_evenly() {
-    let first = |servers: usize| {
-        let fleet = Fleet::new(1, servers, Fault::None);
+fn allocations_for_a_full_list_are_linear_in_its_length() {
+    let first_list = |servers: usize| {
+        let fleet = Fleet::new(1, servers, PlantedFault::None);
         (fleet.allocations as f64, fleet.allocated as f64)
     };
-    let (few, many) = (first(200), first(2000));
-    println!("{few:?} {many:?}");
-    assert!(many.0 < 11.0 * few.0 && many.1 < 13.0 * few.1, "{few:?}, {many:?}");
+    let (small, large) = (first_list(200), first_list(2000));
+    println!("{small:?} {large:?}");
+    assert!(large.0 < 11.0 * small.0 && large.1 < 13.0 * small.1, "{small:?}, {large:?}");
 }
 
-fn shipped(name: &str) -> String {
+/// Reads a file of the repository.
+fn read_repository_file(name: &str) -> String {
     std::fs::read_to_string(format!("{}/../../{name}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
 
 #[test]
-fn a_plan_is_read_or_its_key_is_named() {
-    let text = shipped("scale/fleet.toml");
+fn the_shipped_plan_parses_and_errors_name_the_key() {
+    let text = read_repository_file("scale/fleet.toml");
     let plan = Plan::parse(&text).unwrap();
     let runs = plan.runs();
     assert!(runs.len() > 20 && runs.iter().filter(|(_, trouble)| trouble.is_some()).count() == 4);
@@ -244,42 +263,46 @@
         ("servers = 3000", "servers = 3000000", "largest.servers"),
         ("troubles = [", "troubles = [\"none-such\", ", "troubles[0]"),
     ] {
-        let fault = Plan::parse(&text.replace(from, to)).unwrap_err();
-        assert!(fault.contains(key) && !fault.contains('\n'), "{to}: {fault}");
+        let error = Plan::parse(&text.replace(from, to)).unwrap_err();
+        assert!(error.contains(key) && !error.contains('\n'), "{to}: {error}");
     }
 }
 
-/// The page's table is the one that the kept results and targets give.
+/// Guards against a table in docs/CAPACITY.md that no longer matches the stored results and targets.
 #[test]
-fn the_page_holds_what_the_kept_results_say() {
-    let table =
-        capacity::capacity_table(&shipped("scale/results.jsonl"), &shipped("scale/targets.toml")).unwrap();
-    let page = shipped("docs/CAPACITY.md");
+fn the_capacity_page_holds_the_table_of_the_stored_results() {
+    let table = capacity::capacity_table(
+        &read_repository_file("scale/results.jsonl"),
+        &read_repository_file("scale/targets.toml"),
+    )
+    .unwrap();
+    let page = read_repository_file("docs/CAPACITY.md");
     for line in table.lines() {
         assert!(page.contains(line), "docs/CAPACITY.md lacks this line of `dewhead-lab capacity`:\n{line}");
     }
 }
 
 #[test]
-fn targets_and_results_that_can_not_be_meant_are_named() {
-    let (results, targets) = (shipped("scale/results.jsonl"), shipped("scale/targets.toml"));
-    let fault =
+fn invalid_targets_and_results_are_reported() {
+    let (results, targets) =
+        (read_repository_file("scale/results.jsonl"), read_repository_file("scale/targets.toml"));
+    let error =
         capacity::capacity_table(&results, &targets.replace("proxies = 7300", "proxies = 0")).unwrap_err();
-    assert_eq!(fault, "key 'proxies': is not above 0");
-    let fault = capacity::capacity_table(&results, &targets.replace("zones", "zonen")).unwrap_err();
-    assert!(fault.contains("zonen"), "{fault}");
-    let fault = capacity::capacity_table("{}\nnone\n", &targets).err().unwrap();
-    assert!(fault.starts_with("line "), "{fault}");
+    assert_eq!(error, "key 'proxies': is not above 0");
+    let error = capacity::capacity_table(&results, &targets.replace("zones", "zonen")).unwrap_err();
+    assert!(error.contains("zonen"), "{error}");
+    let error = capacity::capacity_table("{}\nnone\n", &targets).err().unwrap();
+    assert!(error.starts_with("line "), "{error}");
 }
 
-/// A line through figures that lie on one gives that line back.
+/// Figures on an exact line give the intercept and slope of that line.
 #[test]
-fn a_fit_gives_a_line_back() {
-    let runs: Vec<_> = capacity::parse_results(&shipped("scale/results.jsonl")).unwrap();
+fn a_fit_recovers_an_exact_line() {
+    let runs: Vec<_> = capacity::parse_results(&read_repository_file("scale/results.jsonl")).unwrap();
     let term = fit::COST_MODELS.iter().find(|t| t.name == "first list, bytes").unwrap();
-    let mut straight = runs.clone();
-    straight.iter_mut().for_each(|t| t.first_list_bytes = 7.0 + 3.0 * t.servers);
-    let line = term.fit(straight.iter()).unwrap();
+    let mut exact = runs.clone();
+    exact.iter_mut().for_each(|t| t.first_list_bytes = 7.0 + 3.0 * t.servers);
+    let line = term.fit(exact.iter()).unwrap();
     assert!((line.intercept.0 - 7.0).abs() < 1e-3 && (line.slopes[0].0 - 3.0).abs() < 1e-6, "{line:?}");
     assert!((line.predict(&[1000.0]) - 3007.0).abs() < 1e-2);
 }
