--- a/crates/dewhead-proxy/tests/common/loopback.rs
+++ b/crates/dewhead-proxy/tests/common/loopback.rs
@@ -278,7 +278,7 @@
     let build = Command::new(cargo).args(["build", "--locked", "-p", "dewhead-faults-preload"]).status();
     assert!(build.expect("cargo can be started").success());
     let library = Path::new(env!("CARGO_BIN_EXE_dewhead")).with_file_name("libdewhead_faults_preload.so");
-    [("LD_PRELOAD", library.display().to_string()), (plan::VARIABLE, plan.to_string())]
+    [("LD_PRELOAD", library.display().to_string()), (plan::ENVIRONMENT_VARIABLE, plan.to_string())]
 }
 
 /// Reads everything up to the end of the stream; a reset counts as the end.
