--- a/crates/dewhead-lab/src/plain.rs
+++ b/crates/dewhead-lab/src/baseline.rs
@@ -1,7 +1,7 @@
 //! A plain proxy that keeps the four rules and places by one of the baselines' policies, with nothing learned: what
 //! dewhead is measured against. It can be broken on purpose, to try the auditor.
 
-use crate::policy::{Policy, Truths};
+use crate::policy::{Policy, SharedSnapshots};
 use crate::simulated::Proxy;
 use dewhead::types::{Idempotency as Repeat, RepeatScope, ServerState, TrafficType};
 use dewhead_proxy::reducer::{CloseKind, Effect, Endpoint, Event};
@@ -24,54 +24,54 @@
     /// Says `ERR` behind a `BUSY`.
     AnswersTwice,
     /// Closes a client's link without an answer, now and then.
-    LosesCalls,
+    ClosesUnanswered,
     /// Forgets calls, now and then, and lets them wait for ever.
-    ForgetsCalls,
+    NeverAnswers,
     /// Serves with a receipt that no server gave.
-    MakesUpAnswers,
+    FabricatesAnswers,
     /// Goes on sending to nodes that drain.
     IgnoresDrains,
     /// Sends all to the newest node.
-    FloodsCold,
+    FloodsColdNodes,
     /// Sends a second leg while the first is out.
     OverlapsLegs,
     /// Sends one leg more than is allowed.
-    OneLegMore,
+    ExceedsMaxLegs,
     /// Sends once-only calls again after a leg that may have run.
     RepeatsOnceOnly,
     /// Rejects once-only calls that may have run.
-    RejectsWhatRan,
+    RejectsPossiblyExecuted,
     /// Sends referenced calls that may have run to any node.
-    LeavesTheGroup,
+    IgnoresRepeatScope,
     /// Cuts standing connections off.
-    CutsOff,
+    ClosesEstablished,
     /// Holds lines back for two seconds.
-    HoldsLines,
+    DelaysLines,
     /// Changes a line on its way.
-    ChangesLines,
+    CorruptsLines,
     /// Keeps clients whose server has ended.
-    KeepsDead,
+    KeepsOrphanedClients,
     /// Ends its process at a stop with connections standing.
-    StopsHard,
+    ExitsImmediately,
 }
 
-pub const FAULTS: [Fault; 16] = [
+pub const ALL_FAULTS: [Fault; 16] = [
     Fault::AnswersTwice,
-    Fault::LosesCalls,
-    Fault::ForgetsCalls,
-    Fault::MakesUpAnswers,
+    Fault::ClosesUnanswered,
+    Fault::NeverAnswers,
+    Fault::FabricatesAnswers,
     Fault::IgnoresDrains,
-    Fault::FloodsCold,
+    Fault::FloodsColdNodes,
     Fault::OverlapsLegs,
-    Fault::OneLegMore,
+    Fault::ExceedsMaxLegs,
     Fault::RepeatsOnceOnly,
-    Fault::RejectsWhatRan,
-    Fault::LeavesTheGroup,
-    Fault::CutsOff,
-    Fault::HoldsLines,
-    Fault::ChangesLines,
-    Fault::KeepsDead,
-    Fault::StopsHard,
+    Fault::RejectsPossiblyExecuted,
+    Fault::IgnoresRepeatScope,
+    Fault::ClosesEstablished,
+    Fault::DelaysLines,
+    Fault::CorruptsLines,
+    Fault::KeepsOrphanedClients,
+    Fault::ExitsImmediately,
 ];
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -140,10 +140,10 @@
     Hold(usize),
 }
 
-pub struct Plain {
+pub struct BaselineProxy {
     policy: Policy,
     fault: Option<Fault>,
-    truths: Truths,
+    truths: SharedSnapshots,
     chance: Rand64,
     traffic: Vec<TrafficType>,
     known: Known,
@@ -181,7 +181,7 @@
 /// Every so many-th thing goes wrong with one that is broken.
 const WRONG: u64 = 7;
 
-impl Plain {
+impl BaselineProxy {
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         now: f64,
@@ -193,12 +193,12 @@
         remembered: &Value,
         policy: Policy,
         fault: Option<Fault>,
-        truths: Truths,
-    ) -> Plain {
+        truths: SharedSnapshots,
+    ) -> BaselineProxy {
         let (connect_limit, longest_guard, groups) =
             (startup.connect_limit, startup.longest_guard, startup.groups);
         let (traffic, known) = startup.traffic_and_names();
-        let mut plain = Plain {
+        let mut plain = BaselineProxy {
             policy,
             fault,
             truths,
@@ -228,7 +228,7 @@
         };
         plain.list(now, remembered);
         plain.follow(now);
-        if policy == Policy::Top {
+        if policy == Policy::Oracle {
             plain.set(now + EVEN, Due::Even);
         }
         plain
@@ -297,7 +297,7 @@
     fn pick(&mut self, now: f64, key: usize) -> Option<u64> {
         let session = &self.sessions[key];
         let kind = &self.traffic[session.kind];
-        let leaves_group = self.fault == Some(Fault::LeavesTheGroup);
+        let leaves_group = self.fault == Some(Fault::IgnoresRepeatScope);
         let allowed = |node: &Node| match (kind.idempotency, session.ran) {
             (Repeat::Repeatable, _) | (_, None) => true,
             (Repeat::OnceOnly, Some(_)) => self.fault == Some(Fault::RepeatsOnceOnly),
@@ -311,7 +311,7 @@
                     }
             }
         };
-        if self.fault == Some(Fault::FloodsCold) {
+        if self.fault == Some(Fault::FloodsColdNodes) {
             let newest = self.nodes.iter().filter(|(_, n)| n.ready && n.started.is_some());
             let newest = newest.max_by(|a, b| a.1.started.partial_cmp(&b.1.started).unwrap());
             if let Some((id, _)) = newest {
@@ -336,7 +336,7 @@
                 self.turn += 1;
                 Some(fit[self.turn % fit.len()])
             }
-            Policy::LeastOwn => {
+            Policy::LeastOwnConnections => {
                 let least = fit.iter().map(held).min()?;
                 fit.retain(|id| self.nodes[id].held == least);
                 Some(fit[self.chance.rand_range(0..fit.len() as u64) as usize])
@@ -346,7 +346,7 @@
                 let two = fit[self.chance.rand_range(0..fit.len() as u64) as usize];
                 Some(if held(&one) <= held(&two) { one } else { two })
             }
-            Policy::Top => self.emptiest(&fit, self.sessions[key].load),
+            Policy::Oracle => self.emptiest(&fit, self.sessions[key].load),
         }
     }
 
@@ -358,11 +358,11 @@
             let name = &self.nodes[id].name;
             let Some(at) = truths.iter().position(|(n, _)| n == name) else { continue };
             let truth = &truths[at].1;
-            if !truth.up || truth.errors > 0.0 || truth.capacity <= 0.0 {
+            if !truth.up || truth.error_share > 0.0 || truth.capacity <= 0.0 {
                 continue;
             }
             let abroad = if truth.zone == self.home { 0.0 } else { self.crossing };
-            let full = (truth.load + load) / truth.capacity + 0.2 * truth.delay;
+            let full = (truth.load + load) / truth.capacity + 0.2 * truth.queueing_delay;
             if full < FULL && best.is_none_or(|(least, ..)| full + abroad < least) {
                 best = Some((full + abroad, *id, at));
             }
@@ -385,7 +385,7 @@
 
     fn next_leg(&mut self, now: f64, key: usize) {
         let session = &self.sessions[key];
-        let most = self.most_legs + u32::from(self.fault == Some(Fault::OneLegMore)) * 2;
+        let most = self.most_legs + u32::from(self.fault == Some(Fault::ExceedsMaxLegs)) * 2;
         if session.sent >= most || now >= session.until {
             return self.give_up(now, key);
         }
@@ -454,9 +454,9 @@
         let kind = &self.traffic[session.kind];
         let harmless = match kind.idempotency {
             Repeat::Repeatable | Repeat::Referenced(RepeatScope::All) => true,
-            _ => session.ran.is_none() || self.fault == Some(Fault::RejectsWhatRan),
+            _ => session.ran.is_none() || self.fault == Some(Fault::RejectsPossiblyExecuted),
         };
-        if self.broken(Fault::LosesCalls) {
+        if self.broken(Fault::ClosesUnanswered) {
             return self.part(now, key, b"");
         }
         if !harmless {
@@ -533,10 +533,10 @@
                             .map(|at| std::str::from_utf8(&session.head[at]).map_or(0, server_id));
                         session.at = at;
                         session.stage = Stage::Calling;
-                        if self.broken(Fault::ForgetsCalls) {
+                        if self.broken(Fault::NeverAnswers) {
                             return;
                         }
-                        if self.broken(Fault::MakesUpAnswers) {
+                        if self.broken(Fault::FabricatesAnswers) {
                             return self.part(now, key, b"UP 0\r\n");
                         }
                         self.next_leg(now, key);
@@ -557,14 +557,14 @@
                     self.set(now + SILENT, Due::Session(key, serial));
                 }
                 let Some(leg) = self.sessions[key].leg else { return };
-                if self.broken(Fault::HoldsLines) {
+                if self.broken(Fault::DelaysLines) {
                     self.legs[leg].held.extend_from_slice(bytes);
                     return self.set(now + 2.0, Due::Hold(leg));
                 }
                 if !self.legs[leg].held.is_empty() {
                     return self.legs[leg].held.extend_from_slice(bytes);
                 }
-                if self.broken(Fault::ChangesLines) {
+                if self.broken(Fault::CorruptsLines) {
                     let mut changed = bytes.to_vec();
                     changed[0] ^= 1;
                     return self.effects.push(Effect::Write(Endpoint::Server(leg), changed));
@@ -586,7 +586,9 @@
             self.effects.push(Effect::Forward(Endpoint::Client(key), 0..bytes.len()));
             if self.sessions[key].moving {
                 self.move_away(now, key);
-            } else if self.fault == Some(Fault::CutsOff) && self.chance.rand_u64().is_multiple_of(200) {
+            } else if self.fault == Some(Fault::ClosesEstablished)
+                && self.chance.rand_u64().is_multiple_of(200)
+            {
                 self.close(now, key, CloseKind::Graceful);
             }
             return;
@@ -622,7 +624,7 @@
         if !up {
             return self.leg_over(now, leg, sent);
         }
-        if self.fault == Some(Fault::KeepsDead) {
+        if self.fault == Some(Fault::KeepsOrphanedClients) {
             self.sessions[key].timer = 0;
             return;
         }
@@ -644,7 +646,7 @@
     }
 
     fn stop(&mut self, now: f64) {
-        if self.fault == Some(Fault::StopsHard) {
+        if self.fault == Some(Fault::ExitsImmediately) {
             return self.effects.push(Effect::Exit);
         }
         self.stopping = Some(now);
@@ -745,7 +747,7 @@
     farewell
 }
 
-impl Proxy for Plain {
+impl Proxy for BaselineProxy {
     fn step(&mut self, now: f64, event: Event) {
         match event {
             Event::Accepted => {
@@ -839,7 +841,7 @@
         }
     }
 
-    fn effects(&mut self) -> Vec<Effect> {
+    fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
@@ -847,7 +849,7 @@
         self.timers.first_key_value().map(|((at, _), _)| *at as f64 / 1e6)
     }
 
-    fn head(&self, session: usize) -> &[u8] {
+    fn session_head(&self, session: usize) -> &[u8] {
         self.sessions.get(session).map_or(&[], |s| &s.head)
     }
 }
--- a/crates/dewhead-lab/src/commands/compare.rs
+++ b/crates/dewhead-lab/src/commands/compare.rs
@@ -1,6 +1,6 @@
 //! `compare`: two who decide, or two builds, on the same seeds; paired differences with their confidence.
 
-use crate::runs::{self, Read, Task};
+use crate::runs::{self, ComparedRun, Task};
 use crate::stats;
 use argh::FromArgs;
 use std::path::{Path, PathBuf};
@@ -55,7 +55,7 @@
                     let differences: Vec<f64> = both.iter().map(|(x, y)| x - y).collect();
                     let means =
                         |n: fn(&(f64, f64)) -> f64| stats::mean(&both.iter().map(n).collect::<Vec<_>>());
-                    (means(|p| p.0), means(|p| p.1), stats::interval(&differences))
+                    (means(|p| p.0), means(|p| p.1), stats::confidence_interval(&differences))
                 };
                 let (service, worst) = (of(|x| x.2), of(|x| x.3));
                 let tells = |(x, y, (d, w)): (f64, f64, (f64, f64))| {
@@ -77,19 +77,24 @@
         if let Some(lab) = who.strip_prefix("lab:") {
             return other_lab(Path::new(lab), file, &self.seeds);
         }
-        let (of, who) = (runs::read(file)?, runs::who(who)?);
+        let (of, who) = (runs::read_experiment(file)?, runs::parse_proxy_kind(who)?);
         let points = of.matrix_points().map_err(|e| format!("{}: {e}", file.display()))?;
-        let seeds = runs::seeds(&self.seeds)?;
+        let seeds = runs::parse_seeds(&self.seeds)?;
         let tasks: Vec<Task> = points
             .iter()
             .flat_map(|(point, of)| {
-                seeds.iter().map(|seed| Task { point: point.clone(), of: of.clone(), seed: *seed, who })
+                seeds.iter().map(|seed| Task {
+                    point: point.clone(),
+                    experiment: of.clone(),
+                    seed: *seed,
+                    proxy: who,
+                })
             })
             .collect();
-        let played = runs::play_all(&tasks, true);
+        let played = runs::run_tasks(&tasks, true);
         Ok(played
             .into_iter()
-            .map(|p| (p.point, p.seed, p.outcome.service, p.outcome.worst_ten_seconds, p.breaches.len()))
+            .map(|p| (p.point, p.seed, p.outcome.service, p.outcome.worst_ten_seconds, p.violations.len()))
             .collect())
     }
 }
@@ -113,8 +118,15 @@
     let _ = std::fs::remove_dir_all(&dir);
     text.lines()
         .map(|line| {
-            let read: Read = serde_json::from_str(line).map_err(|e| format!("{}: {e}", path.display()))?;
-            Ok((read.point, read.seed, read.outcome.service, read.outcome.worst_ten, read.breaches.len()))
+            let read: ComparedRun =
+                serde_json::from_str(line).map_err(|e| format!("{}: {e}", path.display()))?;
+            Ok((
+                read.point,
+                read.seed,
+                read.outcome.service,
+                read.outcome.worst_ten_seconds,
+                read.violations.len(),
+            ))
         })
         .collect()
 }
--- a/crates/dewhead-lab/src/commands/demo.rs
+++ b/crates/dewhead-lab/src/commands/demo.rs
@@ -1,7 +1,7 @@
 //! `demo`: two real proxies, four nodes and their clients on loopback, to be watched.
 
 use crate::runs;
-use crate::sockets::{self, Programs, Sockets};
+use crate::sockets::{self, LaunchOptions, SocketHost};
 use argh::FromArgs;
 use dewhead_world::experiment::{Experiment, Trouble};
 use dewhead_world::world::World;
@@ -124,16 +124,16 @@
         if let Some(dir) = &self.logs {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
         }
-        let proxy = self.proxy.clone().map_or_else(sockets::beside, Ok)?;
+        let proxy = self.proxy.clone().map_or_else(sockets::find_proxy_binary, Ok)?;
         let began = Instant::now();
         let who = proxy.display().to_string();
-        let programs = Programs { proxy, logs: self.logs.clone(), faults: None };
-        let mut host = Sockets::new(&shown(self.seconds)?, 1, programs)?;
+        let programs = LaunchOptions { proxy_binary: proxy, log_dir: self.logs.clone(), faults: None };
+        let mut host = SocketHost::new(&shown(self.seconds)?, 1, programs)?;
         let mut view = View::new(&host.world);
         host.run(self.seconds, |world, now| view.show(world, now))?;
         view.bars.iter().chain([&view.line]).for_each(ProgressBar::finish);
         let lateness = host.lateness;
-        let played = sockets::played(&mut host.world, "", 1, who, lateness, began);
+        let played = sockets::collect_result(&mut host.world, "", 1, who, lateness, began);
         let (o, c) = (&played.outcome, &played.outcome.counts);
         println!(
             "{:.0} seconds, {} clients, {} calls: {} completed, {} rejected, {} failed",
@@ -154,10 +154,10 @@
             o.setup_times[0] * 1e3,
             o.setup_times[1] * 1e3
         );
-        println!("moved {}, broken {}, rules broken: {}", c.moved, c.broken, played.breaches.len());
-        for breach in &played.breaches {
-            runs::tell_breach(breach, "(the demo)", 1, "dewhead");
+        println!("moved {}, broken {}, rules broken: {}", c.moved, c.broken, played.violations.len());
+        for breach in &played.violations {
+            runs::print_violation(breach, "(the demo)", 1, "dewhead");
         }
-        Ok(played.breaches.is_empty())
+        Ok(played.violations.is_empty())
     }
 }
--- a/crates/dewhead-lab/src/commands/hunt.rs
+++ b/crates/dewhead-lab/src/commands/hunt.rs
@@ -1,6 +1,6 @@
 //! `hunt`: searches the worst days.
 
-use crate::hunt::{self, Find};
+use crate::hunt::{self, Finding};
 use crate::runs;
 use argh::FromArgs;
 use dewhead_world::experiment::Experiment;
@@ -35,13 +35,13 @@
 impl Hunt {
     pub fn carry_out(&self) -> Result<bool, String> {
         let base = match &self.base {
-            Some(path) => runs::read(path)?,
+            Some(path) => runs::read_experiment(path)?,
             None => Experiment::default(),
         };
         let end = Instant::now() + Duration::from_secs_f64((self.minutes * 60.0).clamp(0.0, 1e6));
         let bar = ProgressBar::new_spinner();
         let best = hunt::search(&base, self.seed, |round, played, best| {
-            let worst = best.first().map_or(0.0, |f| f.lost);
+            let worst = best.first().map_or(0.0, |f| f.loss);
             bar.set_message(format!("{played} days played, the worst loses {worst:.3}"));
             bar.tick();
             self.rounds.map_or(Instant::now() < end, |most| round < most)
@@ -50,20 +50,20 @@
         let mut sound = true;
         for (n, find) in best.iter().enumerate() {
             println!("{}", tells(n + 1, find));
-            sound &= find.breaches == 0;
+            sound &= find.violations == 0;
         }
         if let Some(dir) = &self.out {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
             for (n, find) in best.iter().take(self.keep).enumerate() {
                 let mut small = hunt::shrink(find);
-                let kinds = hunt::kinds(&small.of).join(", ");
-                small.of.name = format!("worst-{}", n + 1);
-                small.of.description = format!(
+                let kinds = hunt::trouble_kinds(&small.experiment).join(", ");
+                small.experiment.name = format!("worst-{}", n + 1);
+                small.experiment.description = format!(
                     "found by a hunt and shrunk: {kinds}; the top reaches {:.3} there and dewhead {:.3}",
-                    small.top, small.service
+                    small.oracle_service, small.dewhead_service
                 );
-                small.of.seeds = vec![small.seed];
-                let text = toml::to_string(&small.of).map_err(|e| e.to_string())?;
+                small.experiment.seeds = vec![small.seed];
+                let text = toml::to_string(&small.experiment).map_err(|e| e.to_string())?;
                 let path = dir.join(format!("worst-{}.toml", n + 1));
                 std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
                 println!("{}: {}", path.display(), tells(n + 1, &small));
@@ -73,9 +73,9 @@
     }
 }
 
-fn tells(place: usize, find: &Find) -> String {
+fn tells(place: usize, find: &Finding) -> String {
     let troubles: Vec<String> = find
-        .of
+        .experiment
         .troubles
         .iter()
         .map(|t| {
@@ -84,11 +84,11 @@
         .collect();
     format!(
         "{place}. loses {:.3}: top {:.3}, dewhead {:.3}, breaches {}, load {}; {}",
-        find.lost,
-        find.top,
-        find.service,
-        find.breaches,
-        find.of.load.utilisation,
+        find.loss,
+        find.oracle_service,
+        find.dewhead_service,
+        find.violations,
+        find.experiment.load.utilisation,
         troubles.join("; ")
     )
 }
--- a/crates/dewhead-lab/src/commands/replay.rs
+++ b/crates/dewhead-lab/src/commands/replay.rs
@@ -25,12 +25,17 @@
 
 impl Replay {
     pub fn carry_out(&self) -> Result<bool, String> {
-        let of = runs::read(&self.file)?;
+        let of = runs::read_experiment(&self.file)?;
         let points = of.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
         let (point, of) = points.get(self.point).ok_or("--point: the matrix has fewer points")?.clone();
-        let played = runs::play(&Task { point, of, seed: self.seed, who: runs::who(&self.who)? });
+        let played = runs::run_task(&Task {
+            point,
+            experiment: of,
+            seed: self.seed,
+            proxy: runs::parse_proxy_kind(&self.who)?,
+        });
         tell(&played);
-        for (at, what) in &played.marks {
+        for (at, what) in &played.annotations {
             println!("{at:>10.3}  {what}");
         }
         for (second, (wanted, served)) in played.outcome.demand.iter().zip(&played.outcome.served).enumerate()
@@ -40,9 +45,9 @@
             println!("{second:>6} s  {share:.3}  {bar}");
         }
         println!("digest {}, {} events", played.digest, played.events);
-        for breach in &played.breaches {
-            runs::tell_breach(breach, &self.file.display().to_string(), self.seed, &self.who);
+        for breach in &played.violations {
+            runs::print_violation(breach, &self.file.display().to_string(), self.seed, &self.who);
         }
-        Ok(played.breaches.is_empty())
+        Ok(played.violations.is_empty())
     }
 }
--- a/crates/dewhead-lab/src/commands/run.rs
+++ b/crates/dewhead-lab/src/commands/run.rs
@@ -1,8 +1,8 @@
 //! `run`: plays an experiment over its seeds and its matrix.
 
-use crate::runs::{self, Played, Task};
-use crate::simulated::Who;
-use crate::sockets::{self, FaultInjection, Programs};
+use crate::runs::{self, RunResult, Task};
+use crate::simulated::ProxyKind;
+use crate::sockets::{self, FaultInjection, LaunchOptions};
 use argh::FromArgs;
 use dewhead_faults::plan::Plan;
 use std::path::PathBuf;
@@ -43,23 +43,28 @@
 
 impl Run {
     pub fn carry_out(&self) -> Result<bool, String> {
-        let of = runs::read(&self.file)?;
+        let of = runs::read_experiment(&self.file)?;
         let points = of.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
-        let seeds = self.seeds.as_deref().map_or(Ok(of.seeds.clone()), runs::seeds)?;
-        let who = runs::who(&self.who)?;
+        let seeds = self.seeds.as_deref().map_or(Ok(of.seeds.clone()), runs::parse_seeds)?;
+        let who = runs::parse_proxy_kind(&self.who)?;
         let tasks: Vec<Task> = points
             .iter()
             .flat_map(|(point, of)| {
-                seeds.iter().map(|seed| Task { point: point.clone(), of: of.clone(), seed: *seed, who })
+                seeds.iter().map(|seed| Task {
+                    point: point.clone(),
+                    experiment: of.clone(),
+                    seed: *seed,
+                    proxy: who,
+                })
             })
             .collect();
         let played = match self.host.as_str() {
-            "virtual" => runs::play_all(&tasks, !self.quiet),
+            "virtual" => runs::run_tasks(&tasks, !self.quiet),
             "sockets" => self.on_sockets(&tasks)?,
             other => return Err(format!("--host: '{other}' is neither virtual nor sockets")),
         };
         if let Some(dir) = &self.out {
-            runs::write(dir, &points, &played)?;
+            runs::write_runs(dir, &points, &played)?;
         }
         if !self.quiet {
             println!("{}: {}", of.name, of.description);
@@ -67,31 +72,35 @@
         }
         let file = self.file.display().to_string();
         for one in &played {
-            for breach in &one.breaches {
-                runs::tell_breach(breach, &file, one.seed, &one.who);
+            for breach in &one.violations {
+                runs::print_violation(breach, &file, one.seed, &one.proxy_name);
             }
         }
-        Ok(played.iter().all(|p| p.breaches.is_empty()))
+        Ok(played.iter().all(|p| p.violations.is_empty()))
     }
 }
 
 impl Run {
     /// One after the other, as each wants the machine for itself.
-    fn on_sockets(&self, tasks: &[Task]) -> Result<Vec<Played>, String> {
-        if tasks.iter().any(|t| t.who != Who::Dewhead) {
+    fn on_sockets(&self, tasks: &[Task]) -> Result<Vec<RunResult>, String> {
+        if tasks.iter().any(|t| t.proxy != ProxyKind::Dewhead) {
             return Err("--who: on sockets the proxy decides; name a build with --proxy".into());
         }
-        let proxy = self.proxy.clone().map_or_else(sockets::beside, Ok)?;
+        let proxy = self.proxy.clone().map_or_else(sockets::find_proxy_binary, Ok)?;
         if let Some(dir) = &self.logs {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
         }
         let inject = |plan: &Plan| {
-            Ok::<_, String>(FaultInjection { library: sockets::faults_library()?, plan: *plan })
+            Ok::<_, String>(FaultInjection { library: sockets::find_faults_library()?, plan: *plan })
         };
         let faults = self.faults.as_ref().map(inject).transpose()?;
         let one = |task: &Task| {
-            let programs = Programs { proxy: proxy.clone(), logs: self.logs.clone(), faults: faults.clone() };
-            let played = sockets::play(&task.of, &task.point, task.seed, programs)?;
+            let programs = LaunchOptions {
+                proxy_binary: proxy.clone(),
+                log_dir: self.logs.clone(),
+                faults: faults.clone(),
+            };
+            let played = sockets::run_experiment(&task.experiment, &task.point, task.seed, programs)?;
             if played.late {
                 eprintln!(
                     "seed {}: the lab came {:.3} s late at the worst, so that times say little",
@@ -105,7 +114,7 @@
 }
 
 /// A run in one line.
-pub fn tell(one: &Played) {
+pub fn tell(one: &RunResult) {
     let (o, c) = (&one.outcome, &one.outcome.counts);
     let point = if one.point.is_empty() { String::new() } else { format!("  [{}]", one.point) };
     println!(
@@ -123,7 +132,7 @@
         c.moved,
         c.broken,
         c.nodes_crashed,
-        one.breaches.len(),
-        one.outcome.demand.len() as f64 / one.took.max(1e-9),
+        one.violations.len(),
+        one.outcome.demand.len() as f64 / one.wall_seconds.max(1e-9),
     );
 }
--- a/crates/dewhead-lab/src/commands/soak.rs
+++ b/crates/dewhead-lab/src/commands/soak.rs
@@ -1,7 +1,7 @@
 //! `soak`: real processes under overlapping troubles and failing system calls, over many seeds.
 
 use crate::runs;
-use crate::soak::{Day, Size, Verdict};
+use crate::soak::{Scenario, ScenarioSize, SoakResult};
 use crate::sockets;
 use argh::FromArgs;
 use std::path::PathBuf;
@@ -36,24 +36,28 @@
 
 impl Soak {
     pub fn carry_out(&self) -> Result<bool, String> {
-        let size = Size { proxies: self.proxies, nodes: self.nodes, seconds: self.seconds };
-        let days: Vec<Day> =
-            runs::seeds(&self.seeds)?.into_iter().map(|seed| Day::drawn(size, seed)).collect();
+        let size = ScenarioSize { proxies: self.proxies, nodes: self.nodes, seconds: self.seconds };
+        let days: Vec<Scenario> =
+            runs::parse_seeds(&self.seeds)?.into_iter().map(|seed| Scenario::generate(size, seed)).collect();
         if self.draw {
             for day in &days {
-                println!("# --faults {}\n{}", day.plan, toml::to_string(&day.of).map_err(|e| e.to_string())?);
+                println!(
+                    "# --faults {}\n{}",
+                    day.fault_plan,
+                    toml::to_string(&day.experiment).map_err(|e| e.to_string())?
+                );
             }
             return Ok(true);
         }
-        let proxy = self.proxy.clone().map_or_else(sockets::beside, Ok)?;
-        let library = sockets::faults_library()?;
+        let proxy = self.proxy.clone().map_or_else(sockets::find_proxy_binary, Ok)?;
+        let library = sockets::find_faults_library()?;
         let temporary = std::env::temp_dir().join(format!("dewhead-soak-{}", std::process::id()));
         let logs = self.logs.as_ref().unwrap_or(&temporary);
         let mut sound = true;
         for day in &days {
-            let verdict = day.play(&proxy, &library, &logs.join(day.seed.to_string()))?;
+            let verdict = day.run(&proxy, &library, &logs.join(day.seed.to_string()))?;
             tell(&verdict);
-            sound &= verdict.is_sound();
+            sound &= verdict.passed();
         }
         if self.logs.is_none() {
             // What is left of it is in a folder for such.
@@ -63,7 +67,7 @@
     }
 }
 
-fn tell(verdict: &Verdict) {
+fn tell(verdict: &SoakResult) {
     let late = if verdict.is_late() { "  LATE, says little" } else { "" };
     println!(
         "seed {:>3}{late}  service {:.3}  completed {}  unanswered {}  breaches {}  violations and panics {}  lab late {:.3} s  \
@@ -72,13 +76,13 @@
         verdict.service,
         verdict.completed,
         verdict.unanswered,
-        verdict.breaches.len(),
-        verdict.faults.len(),
+        verdict.violations.len(),
+        verdict.process_failures.len(),
         verdict.lateness,
         verdict.troubles.join("; "),
-        verdict.plan,
+        verdict.fault_plan,
     );
-    for breach in &verdict.breaches {
+    for breach in &verdict.violations {
         let call = breach.call.as_deref().unwrap_or("none");
         println!(
             "  breach of {:?} at {:.3} s, proxy {}, call {call}: {}",
@@ -88,5 +92,5 @@
             println!("    {at:>10.4}  {what}");
         }
     }
-    verdict.faults.iter().for_each(|line| println!("  {line}"));
+    verdict.process_failures.iter().for_each(|line| println!("  {line}"));
 }
--- a/crates/dewhead-lab/src/commands/table.rs
+++ b/crates/dewhead-lab/src/commands/table.rs
@@ -19,27 +19,27 @@
 
 impl Table {
     pub fn carry_out(&self) -> Result<bool, String> {
-        let seeds = runs::seeds(&self.seeds)?;
+        let seeds = runs::parse_seeds(&self.seeds)?;
         let names: Vec<&str> =
-            std::iter::once("dewhead").chain(policy::ALL.iter().map(|(n, _)| *n)).collect();
+            std::iter::once("dewhead").chain(policy::NAMED_POLICIES.iter().map(|(n, _)| *n)).collect();
         println!("| experiment | {} | place | worst 10 s | breaches |", names.join(" | "));
         println!("| --- |{}", " --- |".repeat(names.len() + 3));
         let mut sound = true;
         for file in &self.files {
-            let of = runs::read(file)?;
+            let of = runs::read_experiment(file)?;
             for (point, of) in of.matrix_points().map_err(|e| format!("{}: {e}", file.display()))? {
                 let mut tasks = Vec::new();
                 for name in &names {
-                    let who = runs::who(name)?;
+                    let who = runs::parse_proxy_kind(name)?;
                     tasks.extend(seeds.iter().map(|s| Task {
                         point: point.clone(),
-                        of: of.clone(),
+                        experiment: of.clone(),
                         seed: *s,
-                        who,
+                        proxy: who,
                     }));
                 }
-                let played = runs::play_all(&tasks, true);
-                let of_name = |name: &str| played.iter().filter(|p| p.who == name).collect::<Vec<_>>();
+                let played = runs::run_tasks(&tasks, true);
+                let of_name = |name: &str| played.iter().filter(|p| p.proxy_name == name).collect::<Vec<_>>();
                 let service =
                     |name: &str| -> Vec<f64> { of_name(name).iter().map(|p| p.outcome.service).collect() };
                 let cells: Vec<String> =
@@ -52,10 +52,10 @@
                     of_name("dewhead").iter().map(|p| p.outcome.worst_ten_seconds).collect();
                 let broken: Vec<String> = names
                     .iter()
-                    .map(|n| of_name(n).iter().map(|p| p.breaches.len()).sum::<usize>())
+                    .map(|n| of_name(n).iter().map(|p| p.violations.len()).sum::<usize>())
                     .map(|n| n.to_string())
                     .collect();
-                sound &= of_name("dewhead").iter().all(|p| p.breaches.is_empty());
+                sound &= of_name("dewhead").iter().all(|p| p.violations.is_empty());
                 let label = if point.is_empty() { of.name.clone() } else { format!("{}, {point}", of.name) };
                 let line = (cells.join(" | "), stats::mean(&worst), broken.join("/"));
                 println!("| {label} | {} | {place} | {:.3} | {} |", line.0, line.1, line.2);
--- a/crates/dewhead-lab/src/hunt.rs
+++ b/crates/dewhead-lab/src/hunt.rs
@@ -4,8 +4,8 @@
 //! How bad a day is, is told by what the top reaches there and dewhead does not; a day that nobody can serve is no find.
 
 use crate::policy::Policy;
-use crate::runs::{play, Task};
-use crate::simulated::Who;
+use crate::runs::{run_task, Task};
+use crate::simulated::ProxyKind;
 use dewhead_world::experiment::{Experiment, Trouble};
 use dewhead_world::random::{RandomStream, StreamPurpose};
 use dewhead_world::troubles::TROUBLE_KINDS;
@@ -13,14 +13,14 @@
 
 /// A day and how bad it is.
 #[derive(Clone)]
-pub struct Find {
-    pub of: Experiment,
+pub struct Finding {
+    pub experiment: Experiment,
     pub seed: u64,
     /// The top's service less dewhead's; a broken rule counts as 1 and more.
-    pub lost: f64,
-    pub service: f64,
-    pub top: f64,
-    pub breaches: usize,
+    pub loss: f64,
+    pub dewhead_service: f64,
+    pub oracle_service: f64,
+    pub violations: usize,
 }
 
 /// Troubles of a day that is drawn: so many at the most.
@@ -29,18 +29,28 @@
 const STILL: f64 = 0.8;
 
 /// Plays a day on some seeds; what it loses is the mean.
-pub fn weigh(of: &Experiment, seeds: &[u64]) -> Find {
-    let task = |seed: u64, who| Task { point: String::new(), of: of.clone(), seed, who };
-    let mut find = Find { of: of.clone(), seed: seeds[0], lost: 0.0, service: 0.0, top: 0.0, breaches: 0 };
+pub fn evaluate(of: &Experiment, seeds: &[u64]) -> Finding {
+    let task = |seed: u64, who| Task { point: String::new(), experiment: of.clone(), seed, proxy: who };
+    let mut find = Finding {
+        experiment: of.clone(),
+        seed: seeds[0],
+        loss: 0.0,
+        dewhead_service: 0.0,
+        oracle_service: 0.0,
+        violations: 0,
+    };
     let many = seeds.len() as f64;
     let mut worst = f64::NEG_INFINITY;
     for seed in seeds {
-        let (ours, top) = (play(&task(*seed, Who::Dewhead)), play(&task(*seed, Who::Plain(Policy::Top))));
-        let lost = top.outcome.service - ours.outcome.service + ours.breaches.len() as f64;
-        find.lost += lost / many;
-        find.service += ours.outcome.service / many;
-        find.top += top.outcome.service / many;
-        find.breaches += ours.breaches.len();
+        let (ours, top) = (
+            run_task(&task(*seed, ProxyKind::Dewhead)),
+            run_task(&task(*seed, ProxyKind::Baseline(Policy::Oracle))),
+        );
+        let lost = top.outcome.service - ours.outcome.service + ours.violations.len() as f64;
+        find.loss += lost / many;
+        find.dewhead_service += ours.outcome.service / many;
+        find.oracle_service += top.outcome.service / many;
+        find.violations += ours.violations.len();
         if lost > worst {
             (worst, find.seed) = (lost, *seed);
         }
@@ -113,7 +123,7 @@
 }
 
 /// A way to tell two finds apart: which kinds of trouble they are made of.
-pub fn kinds(of: &Experiment) -> Vec<&str> {
+pub fn trouble_kinds(of: &Experiment) -> Vec<&str> {
     let mut kinds: Vec<&str> = of.troubles.iter().map(|t| t.kind.as_str()).collect();
     kinds.sort_unstable();
     kinds.dedup();
@@ -124,9 +134,9 @@
 pub fn search(
     base: &Experiment,
     seed: u64,
-    mut more: impl FnMut(usize, usize, &[Find]) -> bool,
-) -> Vec<Find> {
-    let mut best: Vec<Find> = Vec::new();
+    mut more: impl FnMut(usize, usize, &[Finding]) -> bool,
+) -> Vec<Finding> {
+    let mut best: Vec<Finding> = Vec::new();
     let mut played = 0;
     for round in 0.. {
         if !more(round, played, &best) {
@@ -140,49 +150,49 @@
                     drawn(base, &mut chance)
                 } else {
                     let from = chance.index(best.len());
-                    near(&best[from].of, &mut chance)
+                    near(&best[from].experiment, &mut chance)
                 }
             })
             .collect();
         played += days.len();
-        let weighed: Vec<Find> = days.par_iter().map(|of| weigh(of, &[seed + round as u64])).collect();
+        let weighed: Vec<Finding> = days.par_iter().map(|of| evaluate(of, &[seed + round as u64])).collect();
         // What looks bad once is played again on other seeds, since single days swing.
-        let least = best.iter().map(|f| f.lost).fold(f64::INFINITY, f64::min);
+        let least = best.iter().map(|f| f.loss).fold(f64::INFINITY, f64::min);
         let seeds: Vec<u64> = (0..4).map(|n| 1000 + seed + n).collect();
-        let sure: Vec<Find> = weighed
+        let sure: Vec<Finding> = weighed
             .par_iter()
-            .filter(|f| best.len() < 8 || f.lost > least)
-            .map(|f| weigh(&f.of, &seeds))
+            .filter(|f| best.len() < 8 || f.loss > least)
+            .map(|f| evaluate(&f.experiment, &seeds))
             .collect();
         for find in sure {
             // One of each make; the worst of them.
-            match best.iter_mut().find(|b| kinds(&b.of) == kinds(&find.of)) {
-                Some(same) if same.lost < find.lost => *same = find,
+            match best.iter_mut().find(|b| trouble_kinds(&b.experiment) == trouble_kinds(&find.experiment)) {
+                Some(same) if same.loss < find.loss => *same = find,
                 Some(_) => {}
                 None => best.push(find),
             }
         }
-        best.sort_by(|a, b| b.lost.total_cmp(&a.lost));
+        best.sort_by(|a, b| b.loss.total_cmp(&a.loss));
         best.truncate(8);
     }
     best
 }
 
 /// The smallest day that still does badly: troubles left out, made milder and shorter, one at a time.
-pub fn shrink(find: &Find) -> Find {
+pub fn shrink(find: &Finding) -> Finding {
     let seeds: Vec<u64> = (0..4).map(|n| 2000 + n).collect();
-    let mut small = weigh(&find.of, &seeds);
-    let bound = small.lost * STILL;
+    let mut small = evaluate(&find.experiment, &seeds);
+    let bound = small.loss * STILL;
     loop {
         let mut tries: Vec<Experiment> = Vec::new();
-        for n in 0..small.of.troubles.len() {
-            let mut less = small.of.clone();
+        for n in 0..small.experiment.troubles.len() {
+            let mut less = small.experiment.clone();
             less.troubles.remove(n);
             tries.push(less);
         }
-        for n in 0..small.of.troubles.len() {
+        for n in 0..small.experiment.troubles.len() {
             let change = |change: &dyn Fn(&mut Trouble)| {
-                let mut milder = small.of.clone();
+                let mut milder = small.experiment.clone();
                 change(&mut milder.troubles[n]);
                 milder
             };
@@ -190,18 +200,18 @@
             tries.push(change(&|t| t.magnitude = figure((1.0 + (t.magnitude - 1.0) / 2.0).max(1.0))));
             tries.push(change(&|t| t.fraction = figure(t.fraction / 2.0)));
         }
-        let mut calmer = small.of.clone();
+        let mut calmer = small.experiment.clone();
         calmer.load.utilisation = figure(calmer.load.utilisation - 0.1);
         if calmer.load.utilisation >= 0.3 {
             tries.push(calmer);
         }
-        tries.retain(|of| size(of) < size(&small.of));
-        let weighed: Vec<Find> = tries.par_iter().map(|of| weigh(of, &seeds)).collect();
+        tries.retain(|of| size(of) < size(&small.experiment));
+        let weighed: Vec<Finding> = tries.par_iter().map(|of| evaluate(of, &seeds)).collect();
         // The smallest of those that are bad enough; the first of like ones.
         let next = weighed
             .into_iter()
-            .filter(|f| f.lost >= bound)
-            .min_by(|a, b| size(&a.of).total_cmp(&size(&b.of)));
+            .filter(|f| f.loss >= bound)
+            .min_by(|a, b| size(&a.experiment).total_cmp(&size(&b.experiment)));
         match next {
             Some(next) => small = next,
             None => return small,
--- a/crates/dewhead-lab/src/policy.rs
+++ b/crates/dewhead-lab/src/policy.rs
@@ -10,47 +10,47 @@
     Random,
     RoundRobin,
     /// Least of the proxy's own connections.
-    LeastOwn,
+    LeastOwnConnections,
     /// The lesser of two drawn at random, by the proxy's own connections.
     TwoChoices,
     /// Sees every node's true state.
-    Top,
+    Oracle,
 }
 
-pub const ALL: [(&str, Policy); 5] = [
+pub const NAMED_POLICIES: [(&str, Policy); 5] = [
     ("random", Policy::Random),
     ("round-robin", Policy::RoundRobin),
-    ("least-own", Policy::LeastOwn),
+    ("least-own", Policy::LeastOwnConnections),
     ("two-choices", Policy::TwoChoices),
-    ("top", Policy::Top),
+    ("top", Policy::Oracle),
 ];
 
 /// A node's true state.
 #[derive(Clone, Copy, Debug)]
-pub struct Truth {
+pub struct NodeSnapshot {
     pub up: bool,
     pub zone: usize,
     pub capacity: f64,
     /// What stands, and what is being set up.
     pub load: f64,
-    pub delay: f64,
-    pub errors: f64,
+    pub queueing_delay: f64,
+    pub error_share: f64,
 }
 
 /// All nodes' true states as of a moment ago, by name; what has been placed since is added by who places it.
-pub type Truths = Rc<RefCell<Vec<(String, Truth)>>>;
+pub type SharedSnapshots = Rc<RefCell<Vec<(String, NodeSnapshot)>>>;
 
 /// Looks at the whole world.
-pub fn look(world: &World, now: f64) -> Vec<(String, Truth)> {
+pub fn snapshot_nodes(world: &World, now: f64) -> Vec<(String, NodeSnapshot)> {
     let one = |n: usize| {
         let node = &world.nodes[n];
-        let truth = Truth {
+        let truth = NodeSnapshot {
             up: node.state == NodeState::Up,
             zone: node.zone,
             capacity: node.capacity(now),
             load: node.load(),
-            delay: node.queueing_delay(now),
-            errors: node.error_share,
+            queueing_delay: node.queueing_delay(now),
+            error_share: node.error_share,
         };
         (world.node_name(n).to_owned(), truth)
     };
--- a/crates/dewhead-lab/src/report.rs
+++ b/crates/dewhead-lab/src/report.rs
@@ -6,38 +6,45 @@
 
 /// A run as its line of JSON has it.
 #[derive(Deserialize)]
-pub struct Run {
+pub struct ReportedRun {
     pub experiment: String,
     pub point: String,
     pub seed: u64,
-    pub who: String,
+    #[serde(rename = "who")]
+    pub proxy_name: String,
     pub host: String,
-    pub outcome: Outcome,
-    pub breaches: Vec<Breach>,
+    pub outcome: ReportedOutcome,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<ReportedViolation>,
     pub late: bool,
     pub nodes: Vec<Vec<(f64, f64, u32)>>,
     pub proxies: Vec<Vec<u32>>,
-    pub marks: Vec<(f64, String)>,
+    #[serde(rename = "marks")]
+    pub annotations: Vec<(f64, String)>,
 }
 
 #[derive(Deserialize)]
-pub struct Outcome {
+pub struct ReportedOutcome {
     pub service: f64,
-    pub worst_ten: f64,
+    #[serde(rename = "worst_ten")]
+    pub worst_ten_seconds: f64,
     pub worst_type: f64,
-    pub set_up: [f64; 3],
+    #[serde(rename = "set_up")]
+    pub setup_times: [f64; 3],
     /// Set-up times in milliseconds at some parts of all, from HDR histograms.
-    #[serde(default)]
-    pub quantiles: Vec<(f64, f64)>,
-    pub wanted: Vec<f64>,
+    #[serde(rename = "quantiles", default)]
+    pub setup_quantiles: Vec<(f64, f64)>,
+    #[serde(rename = "wanted")]
+    pub demand: Vec<f64>,
     pub served: Vec<f64>,
     pub counts: serde_json::Value,
 }
 
 #[derive(Deserialize)]
-pub struct Breach {
+pub struct ReportedViolation {
     pub rule: String,
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     pub at: f64,
     pub proxy: usize,
     pub call: Option<String>,
@@ -110,13 +117,17 @@
     values.enumerate().map(|(second, value)| (second as f64, value)).collect()
 }
 
-fn run(of: &Run) -> Result<String, String> {
-    let marks: Vec<(f64, String)> =
-        of.marks.iter().filter(|(_, what)| !what.ends_with("listens") || what.is_empty()).cloned().collect();
+fn run(of: &ReportedRun) -> Result<String, String> {
+    let marks: Vec<(f64, String)> = of
+        .annotations
+        .iter()
+        .filter(|(_, what)| !what.ends_with("listens") || what.is_empty())
+        .cloned()
+        .collect();
     let (blue, red) = (RGBColor(30, 90, 200), RGBColor(200, 50, 40));
     let mut page = String::new();
     let service = [
-        ("asked for".to_owned(), over_seconds(of.outcome.wanted.iter().copied()), red),
+        ("asked for".to_owned(), over_seconds(of.outcome.demand.iter().copied()), red),
         ("served well".to_owned(), over_seconds(of.outcome.served.iter().copied()), blue),
     ];
     page += &lines("Revenue over time", "revenue a second", &service, &marks, false)?;
@@ -145,26 +156,30 @@
         })
         .collect();
     page += &lines("Connections at each proxy", "connections", &held, &marks, false)?;
-    if !of.outcome.quantiles.is_empty() {
+    if !of.outcome.setup_quantiles.is_empty() {
         // Parts as nines: 0.9 at 1, 0.99 at 2.
-        let points =
-            of.outcome.quantiles.iter().map(|(q, ms)| (-(1.0 - q).max(1e-5).log10(), ms.max(0.1))).collect();
+        let points = of
+            .outcome
+            .setup_quantiles
+            .iter()
+            .map(|(q, ms)| (-(1.0 - q).max(1e-5).log10(), ms.max(0.1)))
+            .collect();
         let set_up = [("set-up, ms; 1 is 90 in a hundred, 2 is 99".to_owned(), points, blue)];
         page += &lines("Set-up times", "ms", &set_up, &[], true)?;
     }
     page += "<details><summary>What happened</summary><ul>";
-    for (at, what) in &of.marks {
+    for (at, what) in &of.annotations {
         page += &format!("<li>{at:.2} s: {}</li>", plain(what));
     }
     page += "</ul></details>";
-    for breach in &of.breaches {
+    for breach in &of.violations {
         page += &format!(
             "<details open><summary>Rule {} at {:.3} s, proxy {}{}: {}</summary><pre>",
             plain(&breach.rule),
             breach.at,
             breach.proxy,
             breach.call.as_deref().map_or(String::new(), |c| format!(", call {}", plain(c))),
-            plain(&breach.what)
+            plain(&breach.description)
         );
         for (at, what) in &breach.trace {
             page += &format!("{at:>10.4}  {}\n", plain(what));
@@ -175,7 +190,7 @@
 }
 
 /// The whole page: a table of all runs, then the plots of the worst and of the middle one of each point.
-pub fn page(runs: &[Run]) -> Result<String, String> {
+pub fn render_page(runs: &[ReportedRun]) -> Result<String, String> {
     let mut page = String::from(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>dewhead-lab</title><style>\
          body{font:15px/1.45 sans-serif;max-width:900px;margin:2em auto;padding:0 1em;color:#222}\
@@ -191,32 +206,32 @@
     for one in runs {
         let o = &one.outcome;
         let late = if one.late { " (late)" } else { "" };
-        let bad = if one.breaches.is_empty() { "" } else { " class=\"bad\"" };
+        let bad = if one.violations.is_empty() { "" } else { " class=\"bad\"" };
         page += &format!(
             "<tr><td>{}</td><td>{}</td><td>{}{late}</td><td>{:.4}</td><td>{:.3}</td><td>{:.3}</td>\
              <td>{:.0}, {:.0}, {:.0}</td><td>{}</td><td>{}</td><td{bad}>{}</td></tr>",
             plain(if one.point.is_empty() { "-" } else { &one.point }),
-            plain(&one.who),
+            plain(&one.proxy_name),
             one.seed,
             o.service,
-            o.worst_ten,
+            o.worst_ten_seconds,
             o.worst_type,
-            o.set_up[0] * 1e3,
-            o.set_up[1] * 1e3,
-            o.set_up[2] * 1e3,
+            o.setup_times[0] * 1e3,
+            o.setup_times[1] * 1e3,
+            o.setup_times[2] * 1e3,
             o.counts["moved"],
             o.counts["broken"],
-            one.breaches.len()
+            one.violations.len()
         );
     }
     page += "</table>";
     let mut points: Vec<&str> = runs.iter().map(|r| r.point.as_str()).collect();
     points.dedup();
     for point in points {
-        let mut of: Vec<&Run> = runs.iter().filter(|r| r.point == point).collect();
+        let mut of: Vec<&ReportedRun> = runs.iter().filter(|r| r.point == point).collect();
         of.sort_by(|a, b| a.outcome.service.total_cmp(&b.outcome.service));
         let services: Vec<f64> = of.iter().map(|r| r.outcome.service).collect();
-        let (mean, width) = stats::interval(&services);
+        let (mean, width) = stats::confidence_interval(&services);
         let width = if width.is_finite() { format!(" +- {width:.4}") } else { String::new() };
         page += &format!(
             "<h2>{}</h2><p>Service {mean:.4}{width}.</p>",
--- a/crates/dewhead-lab/src/scale/fit.rs
+++ b/crates/dewhead-lab/src/scale/fit.rs
@@ -146,7 +146,7 @@
         let runs: Vec<&Told> = runs.filter(|t| t.trouble.is_none() && (self.seen)(t)).collect();
         let of: Vec<f64> = runs.iter().map(|t| (self.of)(t)).collect();
         if self.grows.is_empty() {
-            let (mean, half) = crate::stats::interval(&of);
+            let (mean, half) = crate::stats::confidence_interval(&of);
             return (!of.is_empty()).then(|| Line {
                 begins: (mean, half / 2.0),
                 adds: Vec::new(),
--- a/crates/dewhead-lab/src/simulated.rs
+++ b/crates/dewhead-lab/src/simulated.rs
@@ -1,8 +1,8 @@
 //! The host in simulated time: whole fleets of real reducers, or of plain proxies, in one process, on one thread, with
 //! every byte and every moment set by the seed.
 
-use crate::plain::{Fault, Plain};
-use crate::policy::{self, Policy, Truths};
+use crate::baseline::{BaselineProxy, Fault};
+use crate::policy::{self, Policy, SharedSnapshots};
 use dewhead_proxy::reducer::{CloseKind, Effect, Endpoint, Event, Reducer};
 use dewhead_proxy::state::handover_state;
 use dewhead_proxy::wire::http;
@@ -20,12 +20,12 @@
 /// What runs as a proxy: the reducer that is shipped, or a plain one of the lab's.
 pub trait Proxy {
     fn step(&mut self, now: f64, event: Event);
-    fn effects(&mut self) -> Vec<Effect>;
+    fn take_effects(&mut self) -> Vec<Effect>;
     fn next_due(&self) -> Option<f64>;
     /// A session's first line, for `Effect::SendHead`.
-    fn head(&self, session: usize) -> &[u8];
+    fn session_head(&self, session: usize) -> &[u8];
     /// What it hands to one that takes its place; none where it can't be.
-    fn hand_on(&self, _now: f64) -> Option<Value> {
+    fn export_state(&self, _now: f64) -> Option<Value> {
         None
     }
 }
@@ -34,27 +34,27 @@
     fn step(&mut self, now: f64, event: Event) {
         Reducer::step(self, now, event);
     }
-    fn effects(&mut self) -> Vec<Effect> {
+    fn take_effects(&mut self) -> Vec<Effect> {
         Reducer::take_effects(self)
     }
     fn next_due(&self) -> Option<f64> {
         Reducer::next_due(self)
     }
-    fn head(&self, session: usize) -> &[u8] {
+    fn session_head(&self, session: usize) -> &[u8] {
         Reducer::session_head(self, session)
     }
-    fn hand_on(&self, now: f64) -> Option<Value> {
+    fn export_state(&self, now: f64) -> Option<Value> {
         Some(Reducer::export_state(self, now))
     }
 }
 
 /// Who decides at the proxies.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Who {
+pub enum ProxyKind {
     Dewhead,
-    Plain(Policy),
+    Baseline(Policy),
     /// A plain proxy that is broken on purpose, to try the auditor.
-    Broken(Fault),
+    Faulty(Fault),
 }
 
 /// Which of a process's ends a link is.
@@ -82,9 +82,9 @@
 }
 
 /// The host.
-pub struct Simulated {
+pub struct SimulatedHost {
     pub world: World,
-    who: Who,
+    who: ProxyKind,
     /// Processes that run, by their numbers; a number is not used again.
     processes: Vec<Option<Process>>,
     /// Each proxy's process that listens.
@@ -92,7 +92,7 @@
     at: SecondaryMap<LinkKey, (usize, At)>,
     /// When processes want to be woken, soonest first; entries that no longer hold are passed over.
     due: BinaryHeap<Reverse<(u64, usize)>>,
-    truths: Truths,
+    truths: SharedSnapshots,
     /// The world's effects while they are carried out; the buffer is kept.
     effects: Vec<world::Effect>,
     looked: f64,
@@ -133,19 +133,19 @@
     list[slot] = Some(key);
 }
 
-impl Simulated {
-    pub fn new(of: &Experiment, seed: u64, who: Who) -> Simulated {
+impl SimulatedHost {
+    pub fn new(of: &Experiment, seed: u64, who: ProxyKind) -> SimulatedHost {
         let mut world = World::new(of, seed);
         world.set_node_addresses(|_, n| node_address(n).to_string());
         let proxies = world.proxies.len();
-        Simulated {
+        SimulatedHost {
             world,
             who,
             processes: Vec::new(),
             current: vec![None; proxies],
             at: SecondaryMap::new(),
             due: BinaryHeap::new(),
-            truths: Truths::default(),
+            truths: SharedSnapshots::default(),
             effects: Vec::new(),
             looked: -1.0,
             now: 0.0,
@@ -321,7 +321,7 @@
     fn hand_over(&mut self, p: usize, leave_in: f64) {
         let clock = self.clock();
         let Some(old) = self.current[p] else { return };
-        let Some(handed) = self.processes[old].as_ref().and_then(|one| one.proxy.hand_on(clock)) else {
+        let Some(handed) = self.processes[old].as_ref().and_then(|one| one.proxy.export_state(clock)) else {
             return;
         };
         let Some(handed) = handover_state::decode(&handed) else { return };
@@ -337,18 +337,18 @@
         let discovery = agent_address(self.world.discovery_address(p));
         let plain = |policy, fault, startup| {
             let truths = self.truths.clone();
-            Box::new(Plain::new(clock, startup, of, p, seed, discovery, known, policy, fault, truths))
+            Box::new(BaselineProxy::new(clock, startup, of, p, seed, discovery, known, policy, fault, truths))
         };
         let proxy: Box<dyn Proxy> = match self.who {
-            Who::Dewhead => {
+            ProxyKind::Dewhead => {
                 let mut reducer = Reducer::new(clock, startup, seed, discovery, of.proxy.sockets, known);
                 if let Some(handed) = handed {
                     reducer.import_state(clock, handed);
                 }
                 Box::new(reducer)
             }
-            Who::Plain(policy) => plain(policy, None, startup),
-            Who::Broken(fault) => plain(Policy::LeastOwn, Some(fault), startup),
+            ProxyKind::Baseline(policy) => plain(policy, None, startup),
+            ProxyKind::Faulty(fault) => plain(Policy::LeastOwnConnections, Some(fault), startup),
         };
         let process = Process {
             of: p,
@@ -407,9 +407,9 @@
     }
 
     fn tell(&mut self, p: usize, clock: f64, event: Event, bytes: &[u8]) {
-        if self.who == Who::Plain(Policy::Top) && self.now - self.looked >= LOOK {
+        if self.who == ProxyKind::Baseline(Policy::Oracle) && self.now - self.looked >= LOOK {
             self.looked = self.now;
-            *self.truths.borrow_mut() = policy::look(&self.world, self.now);
+            *self.truths.borrow_mut() = policy::snapshot_nodes(&self.world, self.now);
         }
         let Some(process) = &mut self.processes[p] else { return };
         // As the loop does: timers that are due come before what the sockets have.
@@ -440,7 +440,7 @@
     fn apply(&mut self, p: usize, clock: f64, bytes: &[u8]) {
         let mut written: Vec<usize> = Vec::new();
         let of = self.processes[p].as_ref().map_or(0, |one| one.of);
-        let effects = self.processes[p].as_mut().map_or(Vec::new(), |one| one.proxy.effects());
+        let effects = self.processes[p].as_mut().map_or(Vec::new(), |one| one.proxy.take_effects());
         let mut accept = false;
         let mut exit = false;
         for effect in effects {
@@ -462,7 +462,7 @@
                 }
                 Effect::SendHead { leg, session, timeout_range, timeout_ms } => {
                     let Some(process) = &self.processes[p] else { continue };
-                    let head = process.proxy.head(session);
+                    let head = process.proxy.session_head(session);
                     let text = if timeout_range.is_empty() {
                         head.to_vec()
                     } else {
--- a/crates/dewhead-lab/src/soak.rs
+++ b/crates/dewhead-lab/src/soak.rs
@@ -1,7 +1,7 @@
 //! The soak: days on real processes in which two or three troubles overlap and system calls fail, drawn from a seed and
 //! judged by the auditor, by the proxies' own guard and by what is left over.
 
-use crate::sockets::{FaultInjection, Programs, Sockets};
+use crate::sockets::{FaultInjection, LaunchOptions, SocketHost};
 use dewhead_faults::plan::{ClockStep, Plan};
 use dewhead_world::audit::Violation;
 use dewhead_world::experiment::{Experiment, Trouble};
@@ -51,15 +51,15 @@
 
 /// A day to be soaked.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     pub seed: u64,
-    pub of: Experiment,
-    pub plan: Plan,
+    pub experiment: Experiment,
+    pub fault_plan: Plan,
 }
 
 /// How large the days are.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct ScenarioSize {
     pub proxies: usize,
     pub nodes: usize,
     pub seconds: f64,
@@ -67,28 +67,28 @@
 
 /// What one day came to.
 #[derive(Debug)]
-pub struct Verdict {
+pub struct SoakResult {
     pub seed: u64,
     pub troubles: Vec<String>,
-    pub plan: Plan,
+    pub fault_plan: Plan,
     pub service: f64,
     pub completed: u64,
     pub unanswered: u64,
-    pub breaches: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// Processes that ended badly, and lines of the proxies' logs that tell of a broken promise or a panic.
-    pub faults: Vec<String>,
+    pub process_failures: Vec<String>,
     /// By how much the lab itself came late at the worst, in seconds.
     pub lateness: f64,
 }
 
-impl Verdict {
+impl SoakResult {
     /// Whether the lab came so late that what it saw may be its own doing.
     pub fn is_late(&self) -> bool {
         self.lateness > MOST_LATE
     }
 
-    pub fn is_sound(&self) -> bool {
-        self.breaches.is_empty() && self.faults.is_empty()
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty() && self.process_failures.is_empty()
     }
 }
 
@@ -152,9 +152,9 @@
     Plan { seed, short, interrupt, accept, socket, connect, open, unreachable, step }
 }
 
-impl Day {
+impl Scenario {
     /// The day that this seed draws.
-    pub fn drawn(size: Size, seed: u64) -> Day {
+    pub fn generate(size: ScenarioSize, seed: u64) -> Scenario {
         let mut chance = RandomStream::new(seed, StreamPurpose::Search, 0);
         let begins = hundredths(chance.uniform_in(BEGINS));
         let count = FEWEST + chance.index(MOST - FEWEST + 1);
@@ -169,7 +169,7 @@
         }
         let plan = plan(&mut chance, seed, begins);
         add_signals_and_crowds(&mut RandomStream::new(seed, StreamPurpose::Search, 1), &mut of, begins);
-        Day { seed, of, plan }
+        Scenario { seed, experiment: of, fault_plan: plan }
     }
 
     /// Plays it on the proxy's binary; the logs of its processes go to this folder, which is emptied first.
@@ -177,36 +177,37 @@
     /// # Errors
     ///
     /// The lab's own: no binary, no ports, no folder, a proxy that does not start.
-    pub fn play(&self, proxy: &Path, library: &Path, logs: &Path) -> Result<Verdict, String> {
+    pub fn run(&self, proxy: &Path, library: &Path, logs: &Path) -> Result<SoakResult, String> {
         let fault = |e: std::io::Error| format!("{}: {e}", logs.display());
         if logs.exists() {
             std::fs::remove_dir_all(logs).map_err(fault)?;
         }
         std::fs::create_dir_all(logs).map_err(fault)?;
-        let faults = Some(FaultInjection { library: library.to_owned(), plan: self.plan });
-        let programs = Programs { proxy: proxy.to_owned(), logs: Some(logs.to_owned()), faults };
-        let mut host = Sockets::new(&self.of, self.seed, programs)?;
-        host.run(self.of.seconds, |_, _| {})?;
+        let faults = Some(FaultInjection { library: library.to_owned(), plan: self.fault_plan });
+        let programs =
+            LaunchOptions { proxy_binary: proxy.to_owned(), log_dir: Some(logs.to_owned()), faults };
+        let mut host = SocketHost::new(&self.experiment, self.seed, programs)?;
+        host.run(self.experiment.seconds, |_, _| {})?;
         let outcome = host.world.outcome();
-        let verdict = Verdict {
+        let verdict = SoakResult {
             seed: self.seed,
             troubles: self
-                .of
+                .experiment
                 .troubles
                 .iter()
                 .map(|t| format!("{} at {} for {}", t.kind, t.at, t.duration))
                 .collect(),
-            plan: self.plan,
+            fault_plan: self.fault_plan,
             service: outcome.service,
             completed: outcome.counts.completed,
             unanswered: outcome.counts.unanswered,
-            breaches: std::mem::take(&mut host.world.audit.violations),
-            faults: std::mem::take(&mut host.crashes),
+            violations: std::mem::take(&mut host.world.audit.violations),
+            process_failures: std::mem::take(&mut host.crashes),
             lateness: host.lateness,
         };
         drop(host);
-        let faults = verdict.faults.iter().cloned().chain(told_faults(logs)?).collect();
-        Ok(Verdict { faults, ..verdict })
+        let faults = verdict.process_failures.iter().cloned().chain(told_faults(logs)?).collect();
+        Ok(SoakResult { process_failures: faults, ..verdict })
     }
 }
 
--- a/crates/dewhead-lab/src/sockets.rs
+++ b/crates/dewhead-lab/src/sockets.rs
@@ -5,7 +5,7 @@
 mod addresses;
 mod processes;
 
-use crate::runs::Played;
+use crate::runs::RunResult;
 use addresses::Claim;
 use dewhead_faults::plan::Plan;
 use dewhead_world::experiment::Experiment;
@@ -68,11 +68,11 @@
 }
 
 /// How the processes are started.
-pub struct Programs {
+pub struct LaunchOptions {
     /// The proxy's binary.
-    pub proxy: PathBuf,
+    pub proxy_binary: PathBuf,
     /// Where processes' logs go; nowhere if not told.
-    pub logs: Option<PathBuf>,
+    pub log_dir: Option<PathBuf>,
     /// System calls that fail in the proxies' processes; none if not told.
     pub faults: Option<FaultInjection>,
 }
@@ -86,9 +86,9 @@
     pub plan: Plan,
 }
 
-pub struct Sockets {
+pub struct SocketHost {
     pub world: World,
-    programs: Programs,
+    programs: LaunchOptions,
     poll: Poll,
     began: Instant,
     listeners: Slab<Listener>,
@@ -125,16 +125,16 @@
 }
 
 /// Lets this process hold as many descriptors as it may.
-pub fn raise_limit() {
+pub fn raise_descriptor_limit() {
     use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
     let limit = getrlimit(Resource::Nofile);
     // Where that is not allowed, runs that need more say so when they run out.
     let _ = setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, maximum: limit.maximum });
 }
 
-impl Sockets {
-    pub fn new(of: &Experiment, seed: u64, programs: Programs) -> Result<Sockets, String> {
-        raise_limit();
+impl SocketHost {
+    pub fn new(of: &Experiment, seed: u64, programs: LaunchOptions) -> Result<SocketHost, String> {
+        raise_descriptor_limit();
         let mut world = World::new(of, seed);
         world.audit.observation_slack = SLACK;
         let poll = Poll::new().map_err(|e| told("poll", e))?;
@@ -143,7 +143,7 @@
         let folder = std::env::temp_dir().join(format!("dewhead-lab-{}", claim.name()));
         std::fs::create_dir_all(&folder).map_err(|e| told(&folder.display().to_string(), e))?;
         let addresses = (0..proxies).map(|p| claim.proxy(p)).collect::<Result<Vec<_>, String>>()?;
-        let mut host = Sockets {
+        let mut host = SocketHost {
             world,
             programs,
             poll,
@@ -499,13 +499,13 @@
         self.scratch = scratch;
     }
 
-    /// Sockets that are open, for tests that nothing is left over.
-    pub fn open(&self) -> usize {
+    /// SocketHost that are open, for tests that nothing is left over.
+    pub fn open_sockets(&self) -> usize {
         self.sockets.len()
     }
 }
 
-impl Drop for Sockets {
+impl Drop for SocketHost {
     /// Ends the processes that were started here, and gives their folder back.
     fn drop(&mut self) {
         for process in self.processes.iter_mut().flatten() {
@@ -528,12 +528,12 @@
 }
 
 /// The proxy's binary that lies beside this program's.
-pub fn beside() -> Result<PathBuf, String> {
+pub fn find_proxy_binary() -> Result<PathBuf, String> {
     built("dewhead").map_err(|fault| format!("{fault}: build it, or name one with --proxy"))
 }
 
 /// The fault injection library that lies beside this program.
-pub fn faults_library() -> Result<PathBuf, String> {
+pub fn find_faults_library() -> Result<PathBuf, String> {
     built("libdewhead_faults_preload.so").map_err(|fault| format!("{fault}: build dewhead-faults-preload"))
 }
 
@@ -550,40 +550,45 @@
 }
 
 /// Plays one run on sockets.
-pub fn play(of: &Experiment, point: &str, seed: u64, programs: Programs) -> Result<Played, String> {
+pub fn run_experiment(
+    of: &Experiment,
+    point: &str,
+    seed: u64,
+    programs: LaunchOptions,
+) -> Result<RunResult, String> {
     let began = Instant::now();
-    let who = programs.proxy.display().to_string();
-    let mut host = Sockets::new(of, seed, programs)?;
+    let who = programs.proxy_binary.display().to_string();
+    let mut host = SocketHost::new(of, seed, programs)?;
     host.run(of.seconds, |_, _| {})?;
     let lateness = host.lateness;
-    Ok(played(&mut host.world, point, seed, who, lateness, began))
+    Ok(collect_result(&mut host.world, point, seed, who, lateness, began))
 }
 
 /// What a run on sockets came to.
-pub fn played(
+pub fn collect_result(
     world: &mut World,
     point: &str,
     seed: u64,
     who: String,
     lateness: f64,
     began: Instant,
-) -> Played {
+) -> RunResult {
     let shortest = world.experiment.traffic.iter().map(|t| t.setup_target).fold(f64::INFINITY, f64::min);
-    Played {
+    RunResult {
         experiment: world.experiment.name.clone(),
         point: point.to_owned(),
         seed,
-        who,
+        proxy_name: who,
         host: "sockets",
         outcome: world.outcome(),
-        breaches: std::mem::take(&mut world.audit.violations),
+        violations: std::mem::take(&mut world.audit.violations),
         lateness,
         late: lateness > shortest / 4.0,
         digest: String::new(),
         events: 0,
-        took: began.elapsed().as_secs_f64(),
+        wall_seconds: began.elapsed().as_secs_f64(),
         nodes: std::mem::take(&mut world.service.nodes),
         proxies: std::mem::take(&mut world.service.proxies),
-        marks: std::mem::take(&mut world.service.annotations),
+        annotations: std::mem::take(&mut world.service.annotations),
     }
 }
--- a/crates/dewhead-lab/src/sockets/processes.rs
+++ b/crates/dewhead-lab/src/sockets/processes.rs
@@ -1,7 +1,7 @@
 //! The proxies' processes: started, signalled, handed over, and noticed when they end. A proxy may have several at a time,
 //! one that serves and others that retire.
 
-use super::{told, Listener, Sockets, Target};
+use super::{told, Listener, SocketHost, Target};
 use dewhead_faults::plan;
 use dewhead_world::settings::proxy_configuration;
 use rustix::process::{kill_process, Pid, Signal};
@@ -24,7 +24,7 @@
     }
 }
 
-impl Sockets {
+impl SocketHost {
     /// Signals the process that serves.
     pub(super) fn signal(&self, p: usize, signal: Signal) {
         if let Some(process) = &self.processes[p] {
@@ -83,14 +83,14 @@
     }
 
     fn spawn(&self, p: usize, config: &Path, more: &[&str]) -> Result<Child, String> {
-        let log = match &self.programs.logs {
+        let log = match &self.programs.log_dir {
             Some(dir) => {
                 let file = File::options().create(true).append(true).open(dir.join(format!("proxy-{p}.log")));
                 Stdio::from(file.map_err(|e| told(&dir.display().to_string(), e))?)
             }
             None => Stdio::null(),
         };
-        let mut command = Command::new(&self.programs.proxy);
+        let mut command = Command::new(&self.programs.proxy_binary);
         command.args(["serve", "--config"]).arg(config).args(more);
         if let Some(faults) = &self.programs.faults {
             command.env("LD_PRELOAD", &faults.library).env(plan::VARIABLE, faults.plan.to_string());
@@ -100,7 +100,7 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .map_err(|e| told(&self.programs.proxy.display().to_string(), e))
+            .map_err(|e| told(&self.programs.proxy_binary.display().to_string(), e))
     }
 
     pub(super) fn start(&mut self, p: usize, known: Value) -> Result<(), String> {
--- a/crates/dewhead-lab/src/stats.rs
+++ b/crates/dewhead-lab/src/stats.rs
@@ -12,7 +12,7 @@
 }
 
 /// The mean and half the width of its interval of confidence, 95 in a hundred; infinite for a single figure.
-pub fn interval(of: &[f64]) -> (f64, f64) {
+pub fn confidence_interval(of: &[f64]) -> (f64, f64) {
     let middle = mean(of);
     if of.len() < 2 {
         return (middle, f64::INFINITY);
--- a/crates/dewhead-lab/tests/faults.rs
+++ b/crates/dewhead-lab/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Real proxies on loopback whose system calls fail now and then as Linux documents: every rule is kept all the same.
 
 use dewhead_faults::plan::{ClockStep, Plan};
-use dewhead_lab::sockets::{FaultInjection, Programs, Sockets};
+use dewhead_lab::sockets::{FaultInjection, LaunchOptions, SocketHost};
 use dewhead_world::audit::Violation;
 use dewhead_world::experiment::Experiment;
 use std::process::Command;
@@ -30,10 +30,11 @@
     build(&["-p", "dewhead-proxy", "--bin", "dewhead"]);
     build(&["-p", "dewhead-faults-preload"]);
     let of = Experiment::parse(experiment).expect("it is sound");
-    let library = dewhead_lab::sockets::faults_library().expect("it was built a moment ago");
-    let proxy = dewhead_lab::sockets::beside().expect("it was built a moment ago");
-    let programs = Programs { proxy, logs: None, faults: Some(FaultInjection { library, plan }) };
-    let mut host = Sockets::new(&of, plan.seed, programs).expect("it starts");
+    let library = dewhead_lab::sockets::find_faults_library().expect("it was built a moment ago");
+    let proxy = dewhead_lab::sockets::find_proxy_binary().expect("it was built a moment ago");
+    let programs =
+        LaunchOptions { proxy_binary: proxy, log_dir: None, faults: Some(FaultInjection { library, plan }) };
+    let mut host = SocketHost::new(&of, plan.seed, programs).expect("it starts");
     host.run(of.seconds, |_, _| {}).expect("it plays");
     assert!(host.world.service.counts.completed > 20, "{:?}", host.world.service.counts);
     std::mem::take(&mut host.world.audit.violations)
--- a/crates/dewhead-lab/tests/simulated.rs
+++ b/crates/dewhead-lab/tests/simulated.rs
@@ -1,10 +1,10 @@
 //! The world in simulated time: determinism, the auditor against proxies that are broken on purpose, rules kept by those
 //! that are not, and nothing left over.
 
-use dewhead_lab::plain::{Fault, FAULTS};
+use dewhead_lab::baseline::{Fault, ALL_FAULTS};
 use dewhead_lab::policy::Policy;
-use dewhead_lab::runs::{play, play_all, Task};
-use dewhead_lab::simulated::{Simulated, Who};
+use dewhead_lab::runs::{run_task, run_tasks, Task};
+use dewhead_lab::simulated::{ProxyKind, SimulatedHost};
 use dewhead_world::audit::Rule;
 use dewhead_world::experiment::Experiment;
 
@@ -64,16 +64,17 @@
     Experiment::parse(ROUGH).expect("it is sound")
 }
 
-fn task(seed: u64, who: Who) -> Task {
-    Task { point: String::new(), of: rough(), seed, who }
+fn task(seed: u64, who: ProxyKind) -> Task {
+    Task { point: String::new(), experiment: rough(), seed, proxy: who }
 }
 
 #[test]
 fn the_same_seed_is_the_same_trace_on_one_thread_and_on_many() {
-    let tasks: Vec<Task> = [1, 2, 3, 1].iter().map(|s| task(*s, Who::Dewhead)).collect();
-    let many = play_all(&tasks, false);
-    let one: Vec<_> = tasks.iter().map(play).collect();
-    let digests = |of: &[dewhead_lab::runs::Played]| of.iter().map(|p| p.digest.clone()).collect::<Vec<_>>();
+    let tasks: Vec<Task> = [1, 2, 3, 1].iter().map(|s| task(*s, ProxyKind::Dewhead)).collect();
+    let many = run_tasks(&tasks, false);
+    let one: Vec<_> = tasks.iter().map(run_task).collect();
+    let digests =
+        |of: &[dewhead_lab::runs::RunResult]| of.iter().map(|p| p.digest.clone()).collect::<Vec<_>>();
     assert_eq!(digests(&many), digests(&one));
     assert_eq!(many[0].digest, many[3].digest);
     assert_ne!(many[0].digest, many[1].digest, "another seed is another trace");
@@ -82,16 +83,16 @@
 #[test]
 fn who_breaks_nothing_is_told_of_nothing() {
     for who in [
-        Who::Dewhead,
-        Who::Plain(Policy::Random),
-        Who::Plain(Policy::RoundRobin),
-        Who::Plain(Policy::LeastOwn),
-        Who::Plain(Policy::TwoChoices),
-        Who::Plain(Policy::Top),
+        ProxyKind::Dewhead,
+        ProxyKind::Baseline(Policy::Random),
+        ProxyKind::Baseline(Policy::RoundRobin),
+        ProxyKind::Baseline(Policy::LeastOwnConnections),
+        ProxyKind::Baseline(Policy::TwoChoices),
+        ProxyKind::Baseline(Policy::Oracle),
     ] {
         for seed in [1, 2] {
-            let played = play(&task(seed, who));
-            assert!(played.breaches.is_empty(), "{who:?}, seed {seed}: {:#?}", played.breaches[0]);
+            let played = run_task(&task(seed, who));
+            assert!(played.violations.is_empty(), "{who:?}, seed {seed}: {:#?}", played.violations[0]);
             assert!(played.outcome.counts.completed > 100, "{who:?} serves: {:?}", played.outcome.counts);
         }
     }
@@ -100,22 +101,23 @@
 /// The rule that each broken proxy breaks.
 fn broken_by(fault: Fault) -> Rule {
     match fault {
-        Fault::AnswersTwice | Fault::LosesCalls | Fault::ForgetsCalls | Fault::MakesUpAnswers => {
+        Fault::AnswersTwice | Fault::ClosesUnanswered | Fault::NeverAnswers | Fault::FabricatesAnswers => {
             Rule::OneAnswer
         }
-        Fault::OverlapsLegs | Fault::OneLegMore | Fault::RepeatsOnceOnly => Rule::NoEffectTwice,
-        Fault::RejectsWhatRan | Fault::LeavesTheGroup => Rule::NoEffectTwice,
+        Fault::OverlapsLegs | Fault::ExceedsMaxLegs | Fault::RepeatsOnceOnly => Rule::NoEffectTwice,
+        Fault::RejectsPossiblyExecuted | Fault::IgnoresRepeatScope => Rule::NoEffectTwice,
         Fault::IgnoresDrains => Rule::Drains,
-        Fault::FloodsCold => Rule::ColdNodes,
-        Fault::CutsOff | Fault::KeepsDead | Fault::StopsHard => Rule::NoCut,
-        Fault::HoldsLines | Fault::ChangesLines => Rule::Lines,
+        Fault::FloodsColdNodes => Rule::ColdNodes,
+        Fault::ClosesEstablished | Fault::KeepsOrphanedClients | Fault::ExitsImmediately => Rule::NoCut,
+        Fault::DelaysLines | Fault::CorruptsLines => Rule::Lines,
     }
 }
 
 fn caught(of: Experiment, seed: u64, fault: Fault) -> Result<(), String> {
-    let played = play(&Task { point: String::new(), of, seed, who: Who::Broken(fault) });
-    let caught = played.breaches.iter().find(|b| b.rule == broken_by(fault));
-    let rules: Vec<_> = played.breaches.iter().map(|b| b.rule).collect();
+    let played =
+        run_task(&Task { point: String::new(), experiment: of, seed, proxy: ProxyKind::Faulty(fault) });
+    let caught = played.violations.iter().find(|b| b.rule == broken_by(fault));
+    let rules: Vec<_> = played.violations.iter().map(|b| b.rule).collect();
     let caught = caught.ok_or_else(|| format!("{fault:?} is not caught: {rules:?}"))?;
     assert!(caught.call.is_none() || !caught.trace.is_empty(), "a call's breach comes with its trace");
     Ok(())
@@ -123,7 +125,7 @@
 
 #[test]
 fn each_broken_proxy_is_caught_by_the_right_rule() {
-    for fault in FAULTS.into_iter().filter(|f| *f != Fault::FloodsCold) {
+    for fault in ALL_FAULTS.into_iter().filter(|f| *f != Fault::FloodsColdNodes) {
         caught(rough(), 1, fault).unwrap();
     }
 }
@@ -138,7 +140,7 @@
         of.load.utilisation = 0.9;
         of.node.max_queue = 60.0;
         of.machines.iter_mut().for_each(|m| m.cold_share = [0.1, 0.1]);
-        caught(of, *seed, Fault::FloodsCold).is_ok()
+        caught(of, *seed, Fault::FloodsColdNodes).is_ok()
     };
     let days = (1..=10).filter(flooded).count();
     println!("caught on {days} of 10 days");
@@ -150,7 +152,7 @@
     for seed in 1..=3 {
         let mut of = rough();
         of.seconds = 20.0;
-        let mut host = Simulated::new(&of, seed, Who::Dewhead);
+        let mut host = SimulatedHost::new(&of, seed, ProxyKind::Dewhead);
         host.run(20.0);
         assert!(host.world.open_links() > 20);
         host.world.stop_arrivals();
@@ -170,8 +172,9 @@
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../experiments/release.toml"));
     let mut of = Experiment::parse(&release.expect("it is there")).expect("it is sound");
     let breaches = |of: &Experiment, seed| {
-        let played = play(&Task { point: String::new(), of: of.clone(), seed, who: Who::Dewhead });
-        let cold: Vec<_> = played.breaches.into_iter().filter(|b| b.rule == Rule::ColdNodes).collect();
+        let played =
+            run_task(&Task { point: String::new(), experiment: of.clone(), seed, proxy: ProxyKind::Dewhead });
+        let cold: Vec<_> = played.violations.into_iter().filter(|b| b.rule == Rule::ColdNodes).collect();
         assert_eq!(played.outcome.counts.nodes_crashed, 0, "seed {seed}");
         cold.len()
     };
--- a/crates/dewhead-lab/tests/sockets.rs
+++ b/crates/dewhead-lab/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! The world on real sockets with the real proxy: rules kept through restarts, a drain, a death, silence and a new
 //! configuration, and nothing left over.
 
-use dewhead_lab::sockets::{Programs, Sockets};
+use dewhead_lab::sockets::{LaunchOptions, SocketHost};
 use dewhead_world::experiment::Experiment;
 use std::path::PathBuf;
 use std::process::Command;
@@ -12,7 +12,7 @@
     let built =
         Command::new(cargo).args(["build", "--locked", "-p", "dewhead-proxy", "--bin", "dewhead"]).status();
     assert!(built.expect("cargo runs").success());
-    dewhead_lab::sockets::beside().expect("it was built a moment ago")
+    dewhead_lab::sockets::find_proxy_binary().expect("it was built a moment ago")
 }
 
 const ROUGH: &str = r#"
@@ -65,8 +65,8 @@
 #[test]
 fn the_rules_are_kept_on_sockets_and_nothing_is_left_over() {
     let of = Experiment::parse(ROUGH).expect("it is sound");
-    let programs = Programs { proxy: proxy(), logs: None, faults: None };
-    let mut host = Sockets::new(&of, 1, programs).expect("it starts");
+    let programs = LaunchOptions { proxy_binary: proxy(), log_dir: None, faults: None };
+    let mut host = SocketHost::new(&of, 1, programs).expect("it starts");
     host.run(of.seconds, |_, _| {}).expect("it plays");
     let counts = host.world.service.counts.clone();
     assert!(counts.completed > 100, "{counts:?}");
@@ -77,9 +77,9 @@
     assert!(breaches.is_empty(), "{:#?}", breaches[0]);
     // All that is open is a link that the world knows; none is forgotten.
     assert!(
-        host.open() <= host.world.open_links() + 8,
+        host.open_sockets() <= host.world.open_links() + 8,
         "{} sockets, {} links",
-        host.open(),
+        host.open_sockets(),
         host.world.open_links()
     );
 }
--- a/crates/dewhead-lab/tests/tools.rs
+++ b/crates/dewhead-lab/tests/tools.rs
@@ -1,8 +1,8 @@
 //! What the commands are made of: the hunt and its shrinking, the page of a report, seeds, intervals.
 
-use dewhead_lab::report::{self, Run};
-use dewhead_lab::runs::{self, play, Task};
-use dewhead_lab::simulated::Who;
+use dewhead_lab::report::{self, ReportedRun};
+use dewhead_lab::runs::{self, run_task, Task};
+use dewhead_lab::simulated::ProxyKind;
 use dewhead_lab::{hunt, stats};
 use dewhead_world::experiment::Experiment;
 
@@ -28,12 +28,12 @@
 fn a_hunt_is_repeated_exactly_and_shrinks_what_it_finds() {
     let search = || hunt::search(&small(), 3, |round, _, _| round < 1);
     let (one, two) = (search(), search());
-    let told = |finds: &[hunt::Find]| {
-        finds.iter().map(|f| (toml::to_string(&f.of).unwrap(), f.lost.to_bits())).collect::<Vec<_>>()
+    let told = |finds: &[hunt::Finding]| {
+        finds.iter().map(|f| (toml::to_string(&f.experiment).unwrap(), f.loss.to_bits())).collect::<Vec<_>>()
     };
     assert!(!one.is_empty());
     assert_eq!(told(&one), told(&two));
-    assert!(one.windows(2).all(|w| w[0].lost >= w[1].lost), "the worst comes first");
+    assert!(one.windows(2).all(|w| w[0].loss >= w[1].loss), "the worst comes first");
     // A day of which only one part matters is shrunk to that part.
     let mut day = small();
     let more = |kind: &str, at: f64, part: f64, size: f64| {
@@ -42,20 +42,27 @@
         Experiment::parse(&text).unwrap().troubles.remove(0)
     };
     day.troubles = vec![more("neighbour", 8.0, 1.0, 4.0), more("slow-network", 9.0, 0.5, 1.5)];
-    let whole = hunt::weigh(&day, &[2000, 2001, 2002, 2003]);
+    let whole = hunt::evaluate(&day, &[2000, 2001, 2002, 2003]);
     let shrunk = hunt::shrink(&whole);
-    assert_eq!(hunt::kinds(&shrunk.of), ["neighbour"], "loses {:.3}, then {:.3}", whole.lost, shrunk.lost);
-    assert!(shrunk.lost >= 0.79 * whole.lost, "{} of {}", shrunk.lost, whole.lost);
+    assert_eq!(
+        hunt::trouble_kinds(&shrunk.experiment),
+        ["neighbour"],
+        "loses {:.3}, then {:.3}",
+        whole.loss,
+        shrunk.loss
+    );
+    assert!(shrunk.loss >= 0.79 * whole.loss, "{} of {}", shrunk.loss, whole.loss);
 }
 
 #[test]
 fn a_report_is_one_page_that_needs_nothing_else() {
     let mut of = small();
     of.name = "<small>".into();
-    let played = play(&Task { point: "a & b".into(), of, seed: 1, who: Who::Dewhead });
+    let played =
+        run_task(&Task { point: "a & b".into(), experiment: of, seed: 1, proxy: ProxyKind::Dewhead });
     let line = serde_json::to_string(&played).unwrap();
-    let run: Run = serde_json::from_str(&line).unwrap();
-    let page = report::page(&[run]).unwrap();
+    let run: ReportedRun = serde_json::from_str(&line).unwrap();
+    let page = report::render_page(&[run]).unwrap();
     assert_eq!(page.matches("<svg").count(), 4);
     assert!(page.contains("&lt;small&gt;") && page.contains("a &amp; b") && !page.contains("<small>"));
     for outside in ["src=", "href=", "url("] {
@@ -65,11 +72,11 @@
 
 #[test]
 fn seeds_are_read_as_they_are_written() {
-    assert_eq!(runs::seeds("3").unwrap(), [3]);
-    assert_eq!(runs::seeds("1..4").unwrap(), [1, 2, 3, 4]);
-    assert_eq!(runs::seeds("1, 9,4").unwrap(), [1, 9, 4]);
+    assert_eq!(runs::parse_seeds("3").unwrap(), [3]);
+    assert_eq!(runs::parse_seeds("1..4").unwrap(), [1, 2, 3, 4]);
+    assert_eq!(runs::parse_seeds("1, 9,4").unwrap(), [1, 9, 4]);
     for bad in ["", "4..1", "a", "1..", "0..999999"] {
-        assert!(runs::seeds(bad).unwrap_err().contains("--seeds"), "{bad}");
+        assert!(runs::parse_seeds(bad).unwrap_err().contains("--seeds"), "{bad}");
     }
 }
 
@@ -79,10 +86,10 @@
     let held = (0..2000).filter(|_| {
         let sample: Vec<f64> =
             (0..6).map(|_| (0..12).map(|_| chance.rand_float()).sum::<f64>() - 6.0).collect();
-        let (mean, width) = stats::interval(&sample);
+        let (mean, width) = stats::confidence_interval(&sample);
         mean.abs() <= width
     });
     let held = held.count();
     assert!((1860..1940).contains(&held), "{held} of 2000, where 1900 are meant");
-    assert!(stats::interval(&[1.0]).1.is_infinite(), "one figure tells nothing of its spread");
+    assert!(stats::confidence_interval(&[1.0]).1.is_infinite(), "one figure tells nothing of its spread");
 }
