--- a/crates/dewhead-lab/src/lib.rs
+++ b/crates/dewhead-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lab: hosts on which the world of `dewhead-world` meets proxies, baselines to measure them against, and what
-//! the commands are made of.
+//! Experiments on dewhead proxies: hosts that connect the simulated clients and nodes of `dewhead-world` to proxies, in
+//! simulated time or over loopback sockets; baseline proxies for comparison; and the code behind the commands.
 
 pub mod baseline;
 pub mod commands;
--- a/crates/dewhead-lab/src/main.rs
+++ b/crates/dewhead-lab/src/main.rs
@@ -1,3 +1,5 @@
+//! The `dewhead-lab` command.
+
 fn main() {
     std::process::exit(dewhead_lab::commands::carry_out());
 }
