--- a/crates/dewhead-lab/src/runs.rs
+++ b/crates/dewhead-lab/src/runs.rs
@@ -1,4 +1,4 @@
-//! One run of an experiment, what is kept of it, and many of them side by side.
+//! Single runs of an experiment, their results, and running many of them in parallel.
 
 use crate::policy;
 use crate::simulated::{ProxyKind, SimulatedHost};
@@ -12,67 +12,90 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// A run to be played.
+/// One run to be carried out.
 #[derive(Clone)]
 pub struct Task {
-    /// Where in the matrix, in words.
+    /// The label of the point in the experiment's matrix; empty if there is no matrix.
     pub point: String,
+    /// The experiment at this point.
     pub experiment: Experiment,
+    /// The seed of all random draws.
     pub seed: u64,
+    /// Which proxy implementation is run.
     pub proxy: ProxyKind,
 }
 
-/// What a run came to, as a line of JSON has it.
+/// The result of a run; written as one line of JSON.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunResult {
+    /// The experiment's name.
     pub experiment: String,
+    /// The label of the matrix point.
     pub point: String,
+    /// The seed of all random draws.
     pub seed: u64,
+    /// The proxy implementation; on sockets, the path of the proxy's binary.
     #[serde(rename = "who")]
     pub proxy_name: String,
+    /// `simulated` or `sockets`.
     pub host: &'static str,
+    /// Service metrics of the whole run.
     pub outcome: Outcome,
+    /// Violations of the proxies' rules that the auditor found.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
-    /// On sockets: by how much the lab itself was late at the worst, in seconds; a run is marked late beyond a quarter
-    /// of the shortest setup target.
+    /// On sockets: the longest delay, in seconds, with which the lab handled one of its own events.
     pub lateness: f64,
+    /// Whether `lateness` exceeds a quarter of the shortest setup target, so that measured times are unreliable.
     pub late: bool,
-    /// The trace's digest, in simulated time.
+    /// In simulated time: a digest of the event trace, equal for equal runs.
     pub digest: String,
+    /// In simulated time: how many events were processed.
     pub events: u64,
-    /// Seconds that it took, by the clock.
+    /// How long the run took in real time, in seconds.
     #[serde(rename = "took")]
     pub wall_seconds: f64,
-    /// By the second: load, capacity and connections of each node, then connections of each proxy.
+    /// For each node, once a second: load, capacity and connections.
     pub nodes: Vec<Vec<(f32, f32, u32)>>,
+    /// For each proxy, once a second: connections.
     pub proxies: Vec<Vec<u32>>,
+    /// Notable events: the time in seconds and a description.
     #[serde(rename = "marks")]
     pub annotations: Vec<(f64, String)>,
 }
 
-/// What other builds' labs wrote, as far as it is compared.
+/// The part of a run's JSON line that `compare` reads; the line may come from another build of the lab.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ComparedRun {
+    /// The experiment's name.
     pub experiment: String,
+    /// The label of the matrix point.
     pub point: String,
+    /// The seed of all random draws.
     pub seed: u64,
+    /// The proxy implementation.
     #[serde(rename = "who")]
     pub proxy_name: String,
+    /// The metrics that are compared.
     pub outcome: ComparedOutcome,
+    /// Violations of the proxies' rules; only their number is used.
     #[serde(rename = "breaches", default)]
     pub violations: Vec<serde_json::Value>,
 }
 
+/// The part of a run's service metrics that `compare` reads.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ComparedOutcome {
+    /// The share of the demanded revenue that was served well.
     pub service: f64,
+    /// The same share in the worst ten seconds.
     #[serde(rename = "worst_ten")]
     pub worst_ten_seconds: f64,
+    /// The same share of the worst traffic type.
     pub worst_type: f64,
 }
 
-/// Who decides, by name.
+/// The proxy implementation of this name, as `--who` takes it.
 pub fn parse_proxy_kind(name: &str) -> Result<ProxyKind, String> {
     if name == "dewhead" {
         return Ok(ProxyKind::Dewhead);
@@ -80,12 +103,13 @@
     let found = policy::NAMED_POLICIES.iter().find(|(n, _)| *n == name);
     found.map(|(_, policy)| ProxyKind::Baseline(*policy)).ok_or_else(|| {
         let names: Vec<&str> = policy::NAMED_POLICIES.iter().map(|(n, _)| *n).collect();
-        format!("'{name}' is nobody who decides; there are dewhead, {}", names.join(", "))
+        format!("unknown proxy '{name}'; there are dewhead, {}", names.join(", "))
     })
 }
 
-pub fn proxy_kind_name(who: ProxyKind) -> String {
-    match who {
+/// The name of a proxy implementation in results.
+pub fn proxy_kind_name(proxy: ProxyKind) -> String {
+    match proxy {
         ProxyKind::Dewhead => "dewhead".into(),
         ProxyKind::Baseline(policy) => {
             policy::NAMED_POLICIES.iter().find(|(_, p)| *p == policy).map_or("?", |(n, _)| n).into()
@@ -94,9 +118,9 @@
     }
 }
 
-/// Plays one in simulated time.
+/// Carries out one run in simulated time.
 pub fn run_task(task: &Task) -> RunResult {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut host = SimulatedHost::new(&task.experiment, task.seed, task.proxy);
     host.run(task.experiment.seconds);
     let world = &mut host.world;
@@ -112,75 +136,77 @@
         late: false,
         digest: format!("{:08x}", world.digest()),
         events: host.events,
-        wall_seconds: began.elapsed().as_secs_f64(),
+        wall_seconds: started.elapsed().as_secs_f64(),
         nodes: std::mem::take(&mut world.service.nodes),
         proxies: std::mem::take(&mut world.service.proxies),
         annotations: std::mem::take(&mut world.service.annotations),
     }
 }
 
-/// Plays all of them over the cores, the order of the results that of the tasks.
-pub fn run_tasks(tasks: &[Task], bar: bool) -> Vec<RunResult> {
-    let progress = if bar { ProgressBar::new(tasks.len() as u64) } else { ProgressBar::hidden() };
+/// Carries out all runs in simulated time, in parallel on all cores; results have the order of the tasks.
+pub fn run_tasks(tasks: &[Task], show_progress: bool) -> Vec<RunResult> {
+    let progress = if show_progress { ProgressBar::new(tasks.len() as u64) } else { ProgressBar::hidden() };
     if let Ok(style) = ProgressStyle::with_template("{wide_bar} {pos}/{len} runs, {eta} left") {
         progress.set_style(style);
     }
-    let played = tasks
+    let results = tasks
         .par_iter()
         .map(|task| {
-            let played = run_task(task);
+            let result = run_task(task);
             progress.inc(1);
-            played
+            result
         })
         .collect();
     progress.finish_and_clear();
-    played
+    results
 }
 
-/// Seeds as the command line has them: `3`, `1..10` (both ends played) or `1,4,9`.
+/// Parses the seeds of a command line: `3`, `1..10` (both ends included) or `1,4,9`.
 pub fn parse_seeds(text: &str) -> Result<Vec<u64>, String> {
-    let one = |s: &str| s.trim().parse::<u64>().map_err(|_| format!("--seeds: '{s}' is no whole number"));
+    let parse =
+        |s: &str| s.trim().parse::<u64>().map_err(|_| format!("--seeds: '{s}' is not a whole number"));
     if let Some((from, to)) = text.split_once("..") {
-        let (from, to) = (one(from)?, one(to.trim_start_matches('='))?);
+        let (from, to) = (parse(from)?, parse(to.trim_start_matches('='))?);
         if from > to || to - from >= 10_000 {
-            return Err("--seeds: A..B goes from the lesser to the greater, 10000 at the most".into());
+            return Err("--seeds: in A..B, A must not exceed B, and at most 10000 seeds are taken".into());
         }
         return Ok((from..=to).collect());
     }
-    text.split(',').map(one).collect()
+    text.split(',').map(parse).collect()
 }
 
-/// Reads an experiment's file; a fault names the file and the key.
+/// Reads an experiment's file; an error names the file and the key.
 pub fn read_experiment(path: &Path) -> Result<Experiment, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     Experiment::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Writes runs as JSON lines, and each point's experiment, so that any run can be played again.
-pub fn write_runs(dir: &Path, points: &[(String, Experiment)], played: &[RunResult]) -> Result<(), String> {
-    let fault = |e: std::io::Error| format!("{}: {e}", dir.display());
-    std::fs::create_dir_all(dir).map_err(fault)?;
-    for (n, (_, of)) in points.iter().enumerate() {
-        let text = toml::to_string(of).map_err(|e| e.to_string())?;
-        std::fs::write(dir.join(format!("point-{n}.toml")), text).map_err(fault)?;
+/// Writes the runs to `runs.jsonl` and the experiment of each matrix point to `point-N.toml`, so that any run can be
+/// replayed.
+pub fn write_runs(dir: &Path, points: &[(String, Experiment)], results: &[RunResult]) -> Result<(), String> {
+    let io_error = |e: std::io::Error| format!("{}: {e}", dir.display());
+    std::fs::create_dir_all(dir).map_err(io_error)?;
+    for (n, (_, experiment)) in points.iter().enumerate() {
+        let text = toml::to_string(experiment).map_err(|e| e.to_string())?;
+        std::fs::write(dir.join(format!("point-{n}.toml")), text).map_err(io_error)?;
     }
-    let mut file = std::io::BufWriter::new(std::fs::File::create(dir.join("runs.jsonl")).map_err(fault)?);
-    for one in played {
-        let line = serde_json::to_string(one).map_err(|e| e.to_string())?;
-        writeln!(file, "{line}").map_err(fault)?;
+    let mut file = std::io::BufWriter::new(std::fs::File::create(dir.join("runs.jsonl")).map_err(io_error)?);
+    for result in results {
+        let line = serde_json::to_string(result).map_err(|e| e.to_string())?;
+        writeln!(file, "{line}").map_err(io_error)?;
     }
-    file.flush().map_err(fault)
+    file.flush().map_err(io_error)
 }
 
-/// What a breach comes with: the whole story of the call, and how to see it again.
-pub fn print_violation(breach: &Violation, file: &str, seed: u64, who: &str) {
-    let call = breach.call.as_deref().map_or(String::new(), |c| format!(", call {c}"));
+/// Prints a violation with the trace of its call and the command that reproduces it.
+pub fn print_violation(violation: &Violation, file: &str, seed: u64, proxy_name: &str) {
+    let call = violation.call.as_deref().map_or(String::new(), |c| format!(", call {c}"));
     println!(
         "breach of {:?} at {:.3} s, proxy {}{call}: {}",
-        breach.rule, breach.at, breach.proxy, breach.description
+        violation.rule, violation.at, violation.proxy, violation.description
     );
-    for (at, what) in &breach.trace {
-        println!("    {at:>10.4}  {what}");
+    for (at, event) in &violation.trace {
+        println!("    {at:>10.4}  {event}");
     }
-    println!("    to see it again: dewhead-lab replay {file} --seed {seed} --who {who}");
+    println!("    to see it again: dewhead-lab replay {file} --seed {seed} --who {proxy_name}");
 }
