--- a/crates/dewhead-lab/src/hunt.rs
+++ b/crates/dewhead-lab/src/hunt.rs
@@ -1,7 +1,7 @@
-//! The hunt: which combination of troubles, at which times, makes the worst day? Found in simulated time, then shrunk to
-//! the smallest that still does badly.
+//! Searches, in simulated time, for the combinations and times of troubles that dewhead handles worst, and shrinks them
+//! to the smallest scenario that is still handled badly.
 //!
-//! How bad a day is, is told by what the top reaches there and dewhead does not; a day that nobody can serve is no find.
+//! A scenario is rated by the loss: the oracle's service minus dewhead's. A scenario that no proxy can serve has no loss.
 
 use crate::policy::Policy;
 use crate::runs::{run_task, Task};
@@ -11,216 +11,237 @@
 use dewhead_world::troubles::TROUBLE_KINDS;
 use rayon::prelude::*;
 
-/// A day and how bad it is.
+/// A scenario and how badly dewhead handles it.
 #[derive(Clone)]
 pub struct Finding {
+    /// The scenario.
     pub experiment: Experiment,
+    /// The seed with the highest loss.
     pub seed: u64,
-    /// The top's service less dewhead's; a broken rule counts as 1 and more.
+    /// The oracle's service minus dewhead's, plus 1 for each violation; the mean over the seeds.
     pub loss: f64,
+    /// Dewhead's service, the mean over the seeds.
     pub dewhead_service: f64,
+    /// The oracle's service, the mean over the seeds.
     pub oracle_service: f64,
+    /// Violations by dewhead on all seeds.
     pub violations: usize,
 }
 
-/// Troubles of a day that is drawn: so many at the most.
-const MOST: usize = 4;
-/// A shrunk day does badly still if it loses this part of what the whole one lost.
-const STILL: f64 = 0.8;
+/// Troubles in a drawn scenario, at most.
+const MAX_TROUBLES: usize = 4;
+/// The share of the original loss that a shrunk scenario has to keep.
+const MIN_KEPT_LOSS_SHARE: f64 = 0.8;
 
-/// Plays a day on some seeds; what it loses is the mean.
-pub fn evaluate(of: &Experiment, seeds: &[u64]) -> Finding {
-    let task = |seed: u64, who| Task { point: String::new(), experiment: of.clone(), seed, proxy: who };
-    let mut find = Finding {
-        experiment: of.clone(),
+/// Runs a scenario on these seeds with dewhead and with the oracle.
+pub fn evaluate(experiment: &Experiment, seeds: &[u64]) -> Finding {
+    let task = |seed: u64, proxy| Task { point: String::new(), experiment: experiment.clone(), seed, proxy };
+    let mut finding = Finding {
+        experiment: experiment.clone(),
         seed: seeds[0],
         loss: 0.0,
         dewhead_service: 0.0,
         oracle_service: 0.0,
         violations: 0,
     };
-    let many = seeds.len() as f64;
+    let seed_count = seeds.len() as f64;
     let mut worst = f64::NEG_INFINITY;
     for seed in seeds {
-        let (ours, top) = (
+        let (dewhead, oracle) = (
             run_task(&task(*seed, ProxyKind::Dewhead)),
             run_task(&task(*seed, ProxyKind::Baseline(Policy::Oracle))),
         );
-        let lost = top.outcome.service - ours.outcome.service + ours.violations.len() as f64;
-        find.loss += lost / many;
-        find.dewhead_service += ours.outcome.service / many;
-        find.oracle_service += top.outcome.service / many;
-        find.violations += ours.violations.len();
-        if lost > worst {
-            (worst, find.seed) = (lost, *seed);
+        let loss = oracle.outcome.service - dewhead.outcome.service + dewhead.violations.len() as f64;
+        finding.loss += loss / seed_count;
+        finding.dewhead_service += dewhead.outcome.service / seed_count;
+        finding.oracle_service += oracle.outcome.service / seed_count;
+        finding.violations += dewhead.violations.len();
+        if loss > worst {
+            (worst, finding.seed) = (loss, *seed);
         }
     }
-    find
+    finding
 }
 
-fn figure(x: f64) -> f64 {
+fn round_to_hundredths(x: f64) -> f64 {
     (x * 100.0).round() / 100.0
 }
 
-/// One trouble, drawn so that each kind means something.
-fn trouble(chance: &mut RandomStream, seconds: f64) -> Trouble {
-    let kind = &TROUBLE_KINDS[chance.index(TROUBLE_KINDS.len())];
-    let (part, size) = match kind.name {
+/// Draws a trouble, with a fraction and a magnitude that have an effect for its kind.
+fn draw_trouble(random: &mut RandomStream, seconds: f64) -> Trouble {
+    let kind = &TROUBLE_KINDS[random.index(TROUBLE_KINDS.len())];
+    let (fraction, magnitude_range) = match kind.name {
         "burst" => (0.5, [1.3, 3.0]),
         "flood" => (0.5, [2.0, 8.0]),
-        "heavy-tail" => (chance.uniform_in([0.01, 0.05]), [5.0, 30.0]),
-        "neighbour" => (chance.uniform_in([0.1, 0.6]), [1.3, 3.0]),
+        "heavy-tail" => (random.uniform_in([0.01, 0.05]), [5.0, 30.0]),
+        "neighbour" => (random.uniform_in([0.1, 0.6]), [1.3, 3.0]),
         "slow-network" => (0.5, [2.0, 20.0]),
         "bad-clients" => (0.5, [10.0, 150.0]),
         "discovery-late" => (0.5, [3.0, 20.0]),
         "drain" | "restart-stop" | "restart-kill" | "reconfigure" => {
-            (chance.uniform_in([0.3, 1.0]), [1.0, 4.0])
+            (random.uniform_in([0.3, 1.0]), [1.0, 4.0])
         }
-        _ => (chance.uniform_in([0.1, 0.5]), [2.0, 20.0]),
+        _ => (random.uniform_in([0.1, 0.5]), [2.0, 20.0]),
     };
     Trouble {
         kind: kind.name.into(),
-        at: figure(chance.uniform_in([8.0, seconds * 0.6])),
-        duration: figure(chance.uniform_in([1.0, seconds * 0.4])),
-        fraction: figure(part),
-        magnitude: figure(chance.uniform_in(size)),
-        at_a_time: 1 + chance.index(2),
+        at: round_to_hundredths(random.uniform_in([8.0, seconds * 0.6])),
+        duration: round_to_hundredths(random.uniform_in([1.0, seconds * 0.4])),
+        fraction: round_to_hundredths(fraction),
+        magnitude: round_to_hundredths(random.uniform_in(magnitude_range)),
+        at_a_time: 1 + random.index(2),
         zone: None,
         subject: None,
     }
 }
 
-/// A day near this one: one trouble more, less, or moved.
-fn near(of: &Experiment, chance: &mut RandomStream) -> Experiment {
-    let mut of = of.clone();
-    let many = of.troubles.len();
-    match chance.index(4) {
-        0 if many < MOST => of.troubles.push(trouble(chance, of.seconds)),
-        1 if many > 1 => {
-            of.troubles.remove(chance.index(many));
+/// Draws a scenario that differs from this one in one trouble: added, removed, replaced, or moved in time.
+fn mutate(experiment: &Experiment, random: &mut RandomStream) -> Experiment {
+    let mut experiment = experiment.clone();
+    let trouble_count = experiment.troubles.len();
+    match random.index(4) {
+        0 if trouble_count < MAX_TROUBLES => {
+            experiment.troubles.push(draw_trouble(random, experiment.seconds))
         }
-        2 if many > 0 => {
-            let n = chance.index(many);
-            of.troubles[n] = trouble(chance, of.seconds);
+        1 if trouble_count > 1 => {
+            experiment.troubles.remove(random.index(trouble_count));
         }
-        _ if many > 0 => {
-            let n = chance.index(many);
-            let (at, lasts) = (of.troubles[n].at, of.troubles[n].duration);
-            of.troubles[n].at = figure((at + chance.uniform_in([-6.0, 6.0])).clamp(7.0, of.seconds * 0.7));
-            of.troubles[n].duration =
-                figure((lasts * chance.uniform_in([0.5, 1.8])).clamp(0.5, of.seconds * 0.5));
+        2 if trouble_count > 0 => {
+            let n = random.index(trouble_count);
+            experiment.troubles[n] = draw_trouble(random, experiment.seconds);
         }
-        _ => of.troubles.push(trouble(chance, of.seconds)),
+        _ if trouble_count > 0 => {
+            let n = random.index(trouble_count);
+            let (at, duration) = (experiment.troubles[n].at, experiment.troubles[n].duration);
+            experiment.troubles[n].at = round_to_hundredths(
+                (at + random.uniform_in([-6.0, 6.0])).clamp(7.0, experiment.seconds * 0.7),
+            );
+            experiment.troubles[n].duration = round_to_hundredths(
+                (duration * random.uniform_in([0.5, 1.8])).clamp(0.5, experiment.seconds * 0.5),
+            );
+        }
+        _ => experiment.troubles.push(draw_trouble(random, experiment.seconds)),
     }
-    of
+    experiment
 }
 
-fn drawn(base: &Experiment, chance: &mut RandomStream) -> Experiment {
-    let mut of = base.clone();
-    of.load.utilisation = figure(chance.uniform_in([0.35, 0.7]));
-    of.troubles = (0..1 + chance.index(MOST)).map(|_| trouble(chance, of.seconds)).collect();
-    of
+/// Draws a scenario with random utilisation and troubles.
+fn draw_scenario(base: &Experiment, random: &mut RandomStream) -> Experiment {
+    let mut experiment = base.clone();
+    experiment.load.utilisation = round_to_hundredths(random.uniform_in([0.35, 0.7]));
+    experiment.troubles =
+        (0..1 + random.index(MAX_TROUBLES)).map(|_| draw_trouble(random, experiment.seconds)).collect();
+    experiment
 }
 
-/// A way to tell two finds apart: which kinds of trouble they are made of.
-pub fn trouble_kinds(of: &Experiment) -> Vec<&str> {
-    let mut kinds: Vec<&str> = of.troubles.iter().map(|t| t.kind.as_str()).collect();
+/// The kinds of trouble in a scenario, sorted; two findings with the same kinds count as one.
+pub fn trouble_kinds(experiment: &Experiment) -> Vec<&str> {
+    let mut kinds: Vec<&str> = experiment.troubles.iter().map(|t| t.kind.as_str()).collect();
     kinds.sort_unstable();
     kinds.dedup();
     kinds
 }
 
-/// Searches in rounds until `more` says no; it is told the round, days played so far and the worst so far.
+/// Searches in rounds of 16 scenarios until `proceed` returns false; its arguments are the round, the number of scenarios
+/// run so far and the worst findings so far.
 pub fn search(
     base: &Experiment,
     seed: u64,
-    mut more: impl FnMut(usize, usize, &[Finding]) -> bool,
+    mut proceed: impl FnMut(usize, usize, &[Finding]) -> bool,
 ) -> Vec<Finding> {
-    let mut best: Vec<Finding> = Vec::new();
-    let mut played = 0;
+    let mut findings: Vec<Finding> = Vec::new();
+    let mut evaluated = 0;
     for round in 0.. {
-        if !more(round, played, &best) {
+        if !proceed(round, evaluated, &findings) {
             break;
         }
-        let days: Vec<Experiment> = (0..16)
+        let scenarios: Vec<Experiment> = (0..16)
             .map(|n| {
-                let mut chance = RandomStream::new(seed, StreamPurpose::Search, (round as u64) << 8 | n);
-                // Half are new, half lie near the worst that are known.
-                if n % 2 == 0 || best.is_empty() {
-                    drawn(base, &mut chance)
+                let mut random = RandomStream::new(seed, StreamPurpose::Search, (round as u64) << 8 | n);
+                // Half of the scenarios are new, half are mutations of the worst found so far.
+                if n % 2 == 0 || findings.is_empty() {
+                    draw_scenario(base, &mut random)
                 } else {
-                    let from = chance.index(best.len());
-                    near(&best[from].experiment, &mut chance)
+                    let parent = random.index(findings.len());
+                    mutate(&findings[parent].experiment, &mut random)
                 }
             })
             .collect();
-        played += days.len();
-        let weighed: Vec<Finding> = days.par_iter().map(|of| evaluate(of, &[seed + round as u64])).collect();
-        // What looks bad once is played again on other seeds, since single days swing.
-        let least = best.iter().map(|f| f.loss).fold(f64::INFINITY, f64::min);
-        let seeds: Vec<u64> = (0..4).map(|n| 1000 + seed + n).collect();
-        let sure: Vec<Finding> = weighed
+        evaluated += scenarios.len();
+        let results: Vec<Finding> =
+            scenarios.par_iter().map(|experiment| evaluate(experiment, &[seed + round as u64])).collect();
+        // Scenarios with a high loss are run again on other seeds, since results of a single seed vary.
+        let smallest_loss = findings.iter().map(|f| f.loss).fold(f64::INFINITY, f64::min);
+        let confirmation_seeds: Vec<u64> = (0..4).map(|n| 1000 + seed + n).collect();
+        let confirmed: Vec<Finding> = results
             .par_iter()
-            .filter(|f| best.len() < 8 || f.loss > least)
-            .map(|f| evaluate(&f.experiment, &seeds))
+            .filter(|f| findings.len() < 8 || f.loss > smallest_loss)
+            .map(|f| evaluate(&f.experiment, &confirmation_seeds))
             .collect();
-        for find in sure {
-            // One of each make; the worst of them.
-            match best.iter_mut().find(|b| trouble_kinds(&b.experiment) == trouble_kinds(&find.experiment)) {
-                Some(same) if same.loss < find.loss => *same = find,
+        for finding in confirmed {
+            // Only the worst finding of each combination of kinds is kept.
+            match findings
+                .iter_mut()
+                .find(|b| trouble_kinds(&b.experiment) == trouble_kinds(&finding.experiment))
+            {
+                Some(known) if known.loss < finding.loss => *known = finding,
                 Some(_) => {}
-                None => best.push(find),
+                None => findings.push(finding),
             }
         }
-        best.sort_by(|a, b| b.loss.total_cmp(&a.loss));
-        best.truncate(8);
+        findings.sort_by(|a, b| b.loss.total_cmp(&a.loss));
+        findings.truncate(8);
     }
-    best
+    findings
 }
 
-/// The smallest day that still does badly: troubles left out, made milder and shorter, one at a time.
-pub fn shrink(find: &Finding) -> Finding {
+/// Shrinks a finding: removes troubles, makes one shorter, weaker or smaller, or lowers the utilisation, as long as
+/// enough of the loss remains.
+pub fn shrink(finding: &Finding) -> Finding {
     let seeds: Vec<u64> = (0..4).map(|n| 2000 + n).collect();
-    let mut small = evaluate(&find.experiment, &seeds);
-    let bound = small.loss * STILL;
+    let mut smallest = evaluate(&finding.experiment, &seeds);
+    let bound = smallest.loss * MIN_KEPT_LOSS_SHARE;
     loop {
-        let mut tries: Vec<Experiment> = Vec::new();
-        for n in 0..small.experiment.troubles.len() {
-            let mut less = small.experiment.clone();
-            less.troubles.remove(n);
-            tries.push(less);
+        let mut candidates: Vec<Experiment> = Vec::new();
+        for n in 0..smallest.experiment.troubles.len() {
+            let mut without = smallest.experiment.clone();
+            without.troubles.remove(n);
+            candidates.push(without);
         }
-        for n in 0..small.experiment.troubles.len() {
-            let change = |change: &dyn Fn(&mut Trouble)| {
-                let mut milder = small.experiment.clone();
+        for n in 0..smallest.experiment.troubles.len() {
+            let changed = |change: &dyn Fn(&mut Trouble)| {
+                let mut milder = smallest.experiment.clone();
                 change(&mut milder.troubles[n]);
                 milder
             };
-            tries.push(change(&|t| t.duration = figure((t.duration / 2.0).max(0.5))));
-            tries.push(change(&|t| t.magnitude = figure((1.0 + (t.magnitude - 1.0) / 2.0).max(1.0))));
-            tries.push(change(&|t| t.fraction = figure(t.fraction / 2.0)));
+            candidates.push(changed(&|t| t.duration = round_to_hundredths((t.duration / 2.0).max(0.5))));
+            candidates.push(changed(&|t| {
+                t.magnitude = round_to_hundredths((1.0 + (t.magnitude - 1.0) / 2.0).max(1.0))
+            }));
+            candidates.push(changed(&|t| t.fraction = round_to_hundredths(t.fraction / 2.0)));
         }
-        let mut calmer = small.experiment.clone();
-        calmer.load.utilisation = figure(calmer.load.utilisation - 0.1);
-        if calmer.load.utilisation >= 0.3 {
-            tries.push(calmer);
+        let mut less_loaded = smallest.experiment.clone();
+        less_loaded.load.utilisation = round_to_hundredths(less_loaded.load.utilisation - 0.1);
+        if less_loaded.load.utilisation >= 0.3 {
+            candidates.push(less_loaded);
         }
-        tries.retain(|of| size(of) < size(&small.experiment));
-        let weighed: Vec<Finding> = tries.par_iter().map(|of| evaluate(of, &seeds)).collect();
-        // The smallest of those that are bad enough; the first of like ones.
-        let next = weighed
+        candidates.retain(|experiment| scenario_size(experiment) < scenario_size(&smallest.experiment));
+        let results: Vec<Finding> =
+            candidates.par_iter().map(|experiment| evaluate(experiment, &seeds)).collect();
+        // The smallest candidate that keeps enough of the loss; the first of equally small ones.
+        let next = results
             .into_iter()
             .filter(|f| f.loss >= bound)
-            .min_by(|a, b| size(&a.experiment).total_cmp(&size(&b.experiment)));
+            .min_by(|a, b| scenario_size(&a.experiment).total_cmp(&scenario_size(&b.experiment)));
         match next {
-            Some(next) => small = next,
-            None => return small,
+            Some(next) => smallest = next,
+            None => return smallest,
         }
     }
 }
 
-/// How much there is to a day, for the shrinking: each trouble counts, then how long and how hard it is.
-fn size(of: &Experiment) -> f64 {
-    let each = of.troubles.iter().map(|t| 10.0 + 0.1 * t.duration + 0.1 * t.magnitude + t.fraction);
-    each.sum::<f64>() + of.load.utilisation
+/// The size of a scenario that `shrink` minimises: mainly the number of troubles, then their durations, magnitudes and fractions.
+fn scenario_size(experiment: &Experiment) -> f64 {
+    let sizes = experiment.troubles.iter().map(|t| 10.0 + 0.1 * t.duration + 0.1 * t.magnitude + t.fraction);
+    sizes.sum::<f64>() + experiment.load.utilisation
 }
