--- a/crates/dewhead-lab/src/hunt.rs
+++ b/crates/dewhead-lab/src/hunt.rs
@@ -1,7 +1,7 @@
 //! Searches, in simulated time, for the combinations and times of troubles that dewhead handles worst, and shrinks them
 //! to the smallest scenario that is still handled badly.
 //!
-//! A scenario is rated by the loss: the oracle's service minus dewhead's. A scenario that no proxy can serve has no loss.
+//! A scenario is rated by its loss: the oracle's service minus dewhead's. One that no proxy can serve has no loss.
 
 use crate::policy::Policy;
 use crate::runs::{run_task, Task};
@@ -142,8 +142,8 @@
     kinds
 }
 
-/// Searches in rounds of 16 scenarios until `proceed` returns false; its arguments are the round, the number of scenarios
-/// run so far and the worst findings so far.
+/// Searches in rounds of 16 scenarios until `proceed` returns false. Its arguments are the round, the number of
+/// scenarios run so far and the worst findings so far.
 pub fn search(
     base: &Experiment,
     seed: u64,
@@ -240,7 +240,8 @@
     }
 }
 
-/// The size of a scenario that `shrink` minimises: mainly the number of troubles, then their durations, magnitudes and fractions.
+/// The size of a scenario, which `shrink` minimises: mainly the number of troubles, then their durations, magnitudes and
+/// fractions.
 fn scenario_size(experiment: &Experiment) -> f64 {
     let sizes = experiment.troubles.iter().map(|t| 10.0 + 0.1 * t.duration + 0.1 * t.magnitude + t.fraction);
     sizes.sum::<f64>() + experiment.load.utilisation
