--- a/crates/dewhead-lab/src/hunt.rs
+++ b/crates/dewhead-lab/src/hunt.rs
@@ -240,8 +240,8 @@
     }
 }
 
-/// The size of a scenario, which `shrink` minimises: mainly the number of troubles, then their durations, magnitudes and
-/// fractions.
+/// The size of a scenario, which `shrink` minimises: mainly the number of troubles, then their durations,
+/// magnitudes and fractions.
 fn scenario_size(experiment: &Experiment) -> f64 {
     let sizes = experiment.troubles.iter().map(|t| 10.0 + 0.1 * t.duration + 0.1 * t.magnitude + t.fraction);
     sizes.sum::<f64>() + experiment.load.utilisation
--- a/crates/dewhead-lab/src/report.rs
+++ b/crates/dewhead-lab/src/report.rs
@@ -92,8 +92,8 @@
 /// A line of a plot: its label, points and colour.
 type Line = (String, Vec<(f64, f64)>, RGBColor);
 
-/// A figure with these lines over time in seconds and a vertical line at each annotation. With `log_scale` the value axis
-/// is logarithmic, and annotations are left out.
+/// A figure with these lines over time in seconds and a vertical line at each annotation. With `log_scale` the value
+/// axis is logarithmic, and annotations are left out.
 fn plot_lines(
     title: &str,
     unit: &str,
