--- a/crates/dewhead-lab/src/soak.rs
+++ b/crates/dewhead-lab/src/soak.rs
@@ -1,5 +1,5 @@
-//! The soak: days on real processes in which two or three troubles overlap and system calls fail, drawn from a seed and
-//! judged by the auditor, by the proxies' own guard and by what is left over.
+//! Soak tests: randomly drawn scenarios on real processes in which two or three troubles overlap and system calls fail.
+//! The auditor, the proxies' own invariant checks and the exit status of the processes decide whether a run passes.
 
 use crate::sockets::{FaultInjection, LaunchOptions, SocketHost};
 use dewhead_faults::plan::{ClockStep, Plan};
@@ -8,8 +8,8 @@
 use dewhead_world::random::{RandomStream, StreamPurpose};
 use std::path::{Path, PathBuf};
 
-/// Kinds that mean something to a fleet of processes on loopback.
-const KINDS: &[&str] = &[
+/// Kinds of trouble that have an effect on processes on loopback.
+const PROCESS_TROUBLE_KINDS: &[&str] = &[
     "restart-stop",
     "restart-kill",
     "reconfigure",
@@ -26,170 +26,206 @@
     "slow-network",
     "handover",
 ];
-/// What a day has one of besides, drawn apart from the others: signals in series, a stop that meets a handover, resets.
-const SIGNALS_AND_RESETS: &[&str] = &["signal-series", "handover-stop", "resets"];
-/// The part of the days that have an idle crowd; how many come to a proxy; and the descriptors that it has then.
-const CROWDED_DAYS: f64 = 1.0 / 3.0;
-const CROWD: [f64; 2] = [300.0, 1200.0];
-const CROWDED_DESCRIPTORS: usize = 1024;
-/// Seconds between the lines of a client, and the most of them that go on writing after `MOVE`.
-const LINE_EVERY: [f64; 2] = [0.1, 0.5];
-const MOST_LINGERING: f64 = 0.5;
-/// Troubles of a day, at the least and at the most; they begin within `OVERLAP` seconds of each other.
-const FEWEST: usize = 2;
-const MOST: usize = 3;
-const OVERLAP: f64 = 3.0;
-/// When the first begins, in seconds from the start.
-const BEGINS: [f64; 2] = [4.0, 6.0];
-const HOUR: f64 = 3600.0;
-/// A lab later than this, in seconds, may take its own delay for the proxies'.
-const MOST_LATE: f64 = 0.2;
-/// What the proxies' guard writes for a broken promise.
-const VIOLATION: &str = "invariant violated";
-/// What a process that ends by a panic writes.
-const PANIC: &str = "panicked at";
+/// Each scenario has one of these in addition, drawn from a separate random stream: a series of signals, a stop during
+/// a handover, or connection resets.
+const SIGNAL_AND_RESET_KINDS: &[&str] = &["signal-series", "handover-stop", "resets"];
+/// The share of scenarios in which many clients stay connected without a request.
+const IDLE_CROWD_SHARE: f64 = 1.0 / 3.0;
+/// The range of the number of such clients at each proxy.
+const IDLE_CROWD_CLIENTS: [f64; 2] = [300.0, 1200.0];
+/// The proxies' limit of file descriptors in these scenarios.
+const IDLE_CROWD_MAX_DESCRIPTORS: usize = 1024;
+/// The range of the interval between the lines of a client, in seconds.
+const LINE_INTERVAL: [f64; 2] = [0.1, 0.5];
+/// The share of clients that go on writing after `MOVE`, at most.
+const MAX_IGNORE_MOVE_SHARE: f64 = 0.5;
+/// Limits of the number of overlapping troubles in a scenario.
+const MIN_TROUBLES: usize = 2;
+const MAX_TROUBLES: usize = 3;
+/// All troubles of a scenario begin within this time, in seconds.
+const TROUBLE_START_SPREAD: f64 = 3.0;
+/// The range of the earliest start of a trouble, in seconds from the start of the run.
+const FIRST_TROUBLE_START: [f64; 2] = [4.0, 6.0];
+/// The size of clock steps, in seconds.
+const CLOCK_STEP: f64 = 3600.0;
+/// Above this lateness, in seconds, the lab may attribute its own delay to the proxies.
+const MAX_LATENESS: f64 = 0.2;
+/// The text that a proxy logs when one of its invariants is violated.
+const VIOLATION_LOG_TEXT: &str = "invariant violated";
+/// The text that the standard library prints on a panic.
+const PANIC_LOG_TEXT: &str = "panicked at";
 
-/// A day to be soaked.
+/// A soak scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
+    /// The seed that the scenario was drawn from and is run with.
     pub seed: u64,
+    /// The fleet, the load and the troubles.
     pub experiment: Experiment,
+    /// The system calls that fail in the proxies' processes.
     pub fault_plan: Plan,
 }
 
-/// How large the days are.
+/// How large the scenarios are.
 #[derive(Clone, Copy, Debug)]
 pub struct ScenarioSize {
+    /// The number of proxies.
     pub proxies: usize,
+    /// The number of nodes.
     pub nodes: usize,
+    /// The length of a run, in seconds.
     pub seconds: f64,
 }
 
-/// What one day came to.
+/// The result of one scenario.
 #[derive(Debug)]
 pub struct SoakResult {
+    /// The scenario's seed.
     pub seed: u64,
+    /// The troubles with their start and duration.
     pub troubles: Vec<String>,
+    /// The system calls that failed in the proxies' processes.
     pub fault_plan: Plan,
+    /// The share of the demanded revenue that was served well.
     pub service: f64,
+    /// The number of completed calls.
     pub completed: u64,
+    /// The number of calls without an answer.
     pub unanswered: u64,
+    /// Violations of the proxies' rules that the auditor found.
     pub violations: Vec<Violation>,
-    /// Processes that ended badly, and lines of the proxies' logs that tell of a broken promise or a panic.
+    /// Processes that ended with an error, and lines of the proxies' logs that report a violated invariant or a panic.
     pub process_failures: Vec<String>,
-    /// By how much the lab itself came late at the worst, in seconds.
+    /// The longest delay, in seconds, with which the lab handled one of its own events.
     pub lateness: f64,
 }
 
 impl SoakResult {
-    /// Whether the lab came so late that what it saw may be its own doing.
+    /// Whether the lab was so late that it may have caused the results itself.
     pub fn is_late(&self) -> bool {
-        self.lateness > MOST_LATE
+        self.lateness > MAX_LATENESS
     }
 
+    /// Whether there were neither violations nor failed processes.
     pub fn passed(&self) -> bool {
         self.violations.is_empty() && self.process_failures.is_empty()
     }
 }
 
-fn hundredths(x: f64) -> f64 {
+fn round_to_hundredths(x: f64) -> f64 {
     (x * 100.0).round() / 100.0
 }
 
-fn trouble(chance: &mut RandomStream, kind: &str, begins: f64, seconds: f64) -> Trouble {
-    let size = match kind {
-        "bad-clients" => chance.uniform_in([10.0, 40.0]),
-        "slow-network" | "discovery-late" | "signal-series" => chance.uniform_in([2.0, 8.0]),
-        "idle-crowd" => chance.uniform_in(CROWD),
-        _ => chance.uniform_in([1.0, 4.0]),
+/// Draws a trouble of this kind, with a fraction and a magnitude that have an effect for it.
+fn draw_trouble(random: &mut RandomStream, kind: &str, earliest: f64, seconds: f64) -> Trouble {
+    let magnitude = match kind {
+        "bad-clients" => random.uniform_in([10.0, 40.0]),
+        "slow-network" | "discovery-late" | "signal-series" => random.uniform_in([2.0, 8.0]),
+        "idle-crowd" => random.uniform_in(IDLE_CROWD_CLIENTS),
+        _ => random.uniform_in([1.0, 4.0]),
     };
-    let part = match kind {
+    let fraction = match kind {
         "restart-stop" | "restart-kill" | "reconfigure" | "handover" | "signal-series" | "handover-stop" => {
-            chance.uniform_in([0.3, 1.0])
+            random.uniform_in([0.3, 1.0])
         }
-        _ => chance.uniform_in([0.2, 0.5]),
+        _ => random.uniform_in([0.2, 0.5]),
     };
     Trouble {
         kind: kind.to_owned(),
-        at: hundredths(begins + chance.uniform_in([0.0, OVERLAP])),
-        duration: hundredths(chance.uniform_in([1.0, seconds * 0.4])),
-        fraction: hundredths(part),
-        magnitude: hundredths(size),
-        at_a_time: 1 + chance.index(3),
+        at: round_to_hundredths(earliest + random.uniform_in([0.0, TROUBLE_START_SPREAD])),
+        duration: round_to_hundredths(random.uniform_in([1.0, seconds * 0.4])),
+        fraction: round_to_hundredths(fraction),
+        magnitude: round_to_hundredths(magnitude),
+        at_a_time: 1 + random.index(3),
         zone: None,
         subject: None,
     }
 }
 
-/// What is drawn apart, so that the rest of a seed's day stays what it was.
-fn add_signals_and_crowds(chance: &mut RandomStream, of: &mut Experiment, begins: f64) {
-    of.clients.line_interval = hundredths(chance.uniform_in(LINE_EVERY));
-    of.clients.ignore_move_share = hundredths(chance.uniform_in([0.0, MOST_LINGERING]));
-    let kind = SIGNALS_AND_RESETS[chance.index(SIGNALS_AND_RESETS.len())];
-    of.troubles.push(trouble(chance, kind, begins, of.seconds));
-    if chance.uniform_in([0.0, 1.0]) < CROWDED_DAYS {
-        of.proxy.sockets = CROWDED_DESCRIPTORS;
-        of.troubles.push(trouble(chance, "idle-crowd", begins, of.seconds));
+/// Adds what is drawn from a separate random stream, so that the other draws of a seed do not depend on it.
+fn add_signals_and_crowds(random: &mut RandomStream, experiment: &mut Experiment, earliest: f64) {
+    experiment.clients.line_interval = round_to_hundredths(random.uniform_in(LINE_INTERVAL));
+    experiment.clients.ignore_move_share =
+        round_to_hundredths(random.uniform_in([0.0, MAX_IGNORE_MOVE_SHARE]));
+    let kind = SIGNAL_AND_RESET_KINDS[random.index(SIGNAL_AND_RESET_KINDS.len())];
+    experiment.troubles.push(draw_trouble(random, kind, earliest, experiment.seconds));
+    if random.uniform_in([0.0, 1.0]) < IDLE_CROWD_SHARE {
+        experiment.proxy.sockets = IDLE_CROWD_MAX_DESCRIPTORS;
+        experiment.troubles.push(draw_trouble(random, "idle-crowd", earliest, experiment.seconds));
     }
 }
 
-/// Each fault is in one day of two, so that days differ in what meets.
-fn plan(chance: &mut RandomStream, seed: u64, begins: f64) -> Plan {
-    let drawn = |chance: &mut RandomStream, most: f64| {
-        let happens = chance.uniform_in([0.0, 1.0]) < 0.5;
-        if happens {
-            hundredths(chance.uniform_in([0.01, most]))
+/// Draws the failing system calls. Each kind of failure occurs in half of the scenarios, so that their combinations
+/// vary.
+fn draw_fault_plan(random: &mut RandomStream, seed: u64, earliest: f64) -> Plan {
+    let probability = |random: &mut RandomStream, max: f64| {
+        let occurs = random.uniform_in([0.0, 1.0]) < 0.5;
+        if occurs {
+            round_to_hundredths(random.uniform_in([0.01, max]))
         } else {
             0.0
         }
     };
-    let (short, interrupt) = (drawn(chance, 0.4), drawn(chance, 0.2));
-    let (accept, socket, connect, open) =
-        (drawn(chance, 0.3), drawn(chance, 0.1), drawn(chance, 0.1), drawn(chance, 0.5));
-    let by = [0.0, HOUR, -HOUR][chance.index(3)];
-    let step = ClockStep { from: begins, by };
-    let unreachable = drawn(chance, 1.0);
+    let (short, interrupt) = (probability(random, 0.4), probability(random, 0.2));
+    let (accept, socket, connect, open) = (
+        probability(random, 0.3),
+        probability(random, 0.1),
+        probability(random, 0.1),
+        probability(random, 0.5),
+    );
+    let by = [0.0, CLOCK_STEP, -CLOCK_STEP][random.index(3)];
+    let step = ClockStep { from: earliest, by };
+    let unreachable = probability(random, 1.0);
     Plan { seed, short, interrupt, accept, socket, connect, open, unreachable, step }
 }
 
 impl Scenario {
-    /// The day that this seed draws.
+    /// Draws the scenario of this seed.
     pub fn generate(size: ScenarioSize, seed: u64) -> Scenario {
-        let mut chance = RandomStream::new(seed, StreamPurpose::Search, 0);
-        let begins = hundredths(chance.uniform_in(BEGINS));
-        let count = FEWEST + chance.index(MOST - FEWEST + 1);
-        let mut of =
+        let mut random = RandomStream::new(seed, StreamPurpose::Search, 0);
+        let earliest = round_to_hundredths(random.uniform_in(FIRST_TROUBLE_START));
+        let count = MIN_TROUBLES + random.index(MAX_TROUBLES - MIN_TROUBLES + 1);
+        let mut experiment =
             Experiment { name: format!("soak-{seed}"), seconds: size.seconds, ..Experiment::default() };
-        (of.fleet.proxies, of.fleet.nodes) = (size.proxies, size.nodes);
-        of.load.utilisation = hundredths(chance.uniform_in([0.2, 0.4]));
-        let mut kinds = KINDS.to_vec();
-        while of.troubles.len() < count {
-            let kind = kinds.remove(chance.index(kinds.len()));
-            of.troubles.push(trouble(&mut chance, kind, begins, size.seconds));
+        (experiment.fleet.proxies, experiment.fleet.nodes) = (size.proxies, size.nodes);
+        experiment.load.utilisation = round_to_hundredths(random.uniform_in([0.2, 0.4]));
+        let mut kinds = PROCESS_TROUBLE_KINDS.to_vec();
+        while experiment.troubles.len() < count {
+            let kind = kinds.remove(random.index(kinds.len()));
+            experiment.troubles.push(draw_trouble(&mut random, kind, earliest, size.seconds));
         }
-        let plan = plan(&mut chance, seed, begins);
-        add_signals_and_crowds(&mut RandomStream::new(seed, StreamPurpose::Search, 1), &mut of, begins);
-        Scenario { seed, experiment: of, fault_plan: plan }
+        let fault_plan = draw_fault_plan(&mut random, seed, earliest);
+        add_signals_and_crowds(
+            &mut RandomStream::new(seed, StreamPurpose::Search, 1),
+            &mut experiment,
+            earliest,
+        );
+        Scenario { seed, experiment, fault_plan }
     }
 
-    /// Plays it on the proxy's binary; the logs of its processes go to this folder, which is emptied first.
+    /// Runs the scenario with processes of this proxy binary, into each of which the fault library is loaded. Their
+    /// logs are written to `log_dir`, which is emptied first.
     ///
     /// # Errors
     ///
-    /// The lab's own: no binary, no ports, no folder, a proxy that does not start.
-    pub fn run(&self, proxy: &Path, library: &Path, logs: &Path) -> Result<SoakResult, String> {
-        let fault = |e: std::io::Error| format!("{}: {e}", logs.display());
-        if logs.exists() {
-            std::fs::remove_dir_all(logs).map_err(fault)?;
+    /// The lab itself fails: the binary is missing, no port is free, the folder can't be written, or a proxy does not
+    /// start.
+    pub fn run(&self, proxy_binary: &Path, library: &Path, log_dir: &Path) -> Result<SoakResult, String> {
+        let io_error = |e: std::io::Error| format!("{}: {e}", log_dir.display());
+        if log_dir.exists() {
+            std::fs::remove_dir_all(log_dir).map_err(io_error)?;
         }
-        std::fs::create_dir_all(logs).map_err(fault)?;
+        std::fs::create_dir_all(log_dir).map_err(io_error)?;
         let faults = Some(FaultInjection { library: library.to_owned(), plan: self.fault_plan });
-        let programs =
-            LaunchOptions { proxy_binary: proxy.to_owned(), log_dir: Some(logs.to_owned()), faults };
-        let mut host = SocketHost::new(&self.experiment, self.seed, programs)?;
+        let options = LaunchOptions {
+            proxy_binary: proxy_binary.to_owned(),
+            log_dir: Some(log_dir.to_owned()),
+            faults,
+        };
+        let mut host = SocketHost::new(&self.experiment, self.seed, options)?;
         host.run(self.experiment.seconds, |_, _| {})?;
         let outcome = host.world.outcome();
-        let verdict = SoakResult {
+        let result = SoakResult {
             seed: self.seed,
             troubles: self
                 .experiment
@@ -206,25 +242,27 @@
             lateness: host.lateness,
         };
         drop(host);
-        let faults = verdict.process_failures.iter().cloned().chain(told_faults(logs)?).collect();
-        Ok(SoakResult { process_failures: faults, ..verdict })
+        let process_failures =
+            result.process_failures.iter().cloned().chain(find_logged_failures(log_dir)?).collect();
+        Ok(SoakResult { process_failures, ..result })
     }
 }
 
-/// What the processes' logs tell of broken promises and panics.
-fn told_faults(logs: &Path) -> Result<Vec<String>, String> {
-    let fault = |e: std::io::Error| format!("{}: {e}", logs.display());
+/// The lines of the processes' logs that report violated invariants or panics, prefixed with the name of the log.
+fn find_logged_failures(log_dir: &Path) -> Result<Vec<String>, String> {
+    let io_error = |e: std::io::Error| format!("{}: {e}", log_dir.display());
     let mut files: Vec<PathBuf> = Vec::new();
-    for entry in std::fs::read_dir(logs).map_err(fault)? {
-        files.push(entry.map_err(fault)?.path());
+    for entry in std::fs::read_dir(log_dir).map_err(io_error)? {
+        files.push(entry.map_err(io_error)?.path());
     }
     files.sort();
     let mut found = Vec::new();
     for file in files {
-        let text = std::fs::read(&file).map_err(fault)?;
+        let text = std::fs::read(&file).map_err(io_error)?;
         let name = file.file_stem().unwrap_or_default().to_string_lossy().into_owned();
         let text = String::from_utf8_lossy(&text);
-        let lines = text.lines().filter(|line| line.contains(VIOLATION) || line.contains(PANIC));
+        let lines =
+            text.lines().filter(|line| line.contains(VIOLATION_LOG_TEXT) || line.contains(PANIC_LOG_TEXT));
         found.extend(lines.map(|line| format!("{name}: {line}")));
     }
     Ok(found)
