--- a/crates/dewhead-lab/src/baseline.rs
+++ b/crates/dewhead-lab/src/baseline.rs
@@ -1,9 +1,9 @@
-//! A plain proxy that keeps the four rules and places by one of the baselines' policies, with nothing learned: what
-//! dewhead is measured against. It can be broken on purpose, to try the auditor.
+//! A proxy that follows the four rules for proxies, places connections by one of the policies of `policy` and
+//! learns nothing from results. Dewhead is compared with it, and faulty variants of it test the auditor.
 
 use crate::policy::{Policy, SharedSnapshots};
 use crate::simulated::Proxy;
-use dewhead::types::{Idempotency as Repeat, RepeatScope, ServerState, TrafficType};
+use dewhead::types::{Idempotency, RepeatScope, ServerState, TrafficType};
 use dewhead_proxy::reducer::{CloseKind, Effect, Endpoint, Event};
 use dewhead_proxy::wire::answers::{parse_server_message, ServerMessage};
 use dewhead_proxy::wire::first_line::{parse_first_line, FirstLine};
@@ -18,43 +18,44 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a broken one does wrong.
+/// What a faulty proxy does wrong.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Fault {
-    /// Says `ERR` behind a `BUSY`.
+    /// Sends `ERR` after a `BUSY`.
     AnswersTwice,
-    /// Closes a client's link without an answer, now and then.
+    /// Sometimes closes a client's connection without an answer.
     ClosesUnanswered,
-    /// Forgets calls, now and then, and lets them wait for ever.
+    /// Sometimes never answers a call and keeps its connection open.
     NeverAnswers,
-    /// Serves with a receipt that no server gave.
+    /// Sometimes confirms a call that no server has confirmed.
     FabricatesAnswers,
-    /// Goes on sending to nodes that drain.
+    /// Continues to start legs at draining nodes.
     IgnoresDrains,
-    /// Sends all to the newest node.
+    /// Starts all legs at the node that was started last.
     FloodsColdNodes,
-    /// Sends a second leg while the first is out.
+    /// Starts a second leg while the first is still open.
     OverlapsLegs,
-    /// Sends one leg more than is allowed.
+    /// Starts more legs than are allowed.
     ExceedsMaxLegs,
-    /// Sends once-only calls again after a leg that may have run.
+    /// Repeats once-only calls after a leg that may have run.
     RepeatsOnceOnly,
     /// Rejects once-only calls that may have run.
     RejectsPossiblyExecuted,
-    /// Sends referenced calls that may have run to any node.
+    /// Repeats referenced calls that may have run outside their scope.
     IgnoresRepeatScope,
-    /// Cuts standing connections off.
+    /// Sometimes closes established connections.
     ClosesEstablished,
-    /// Holds lines back for two seconds.
+    /// Sometimes delays client lines by two seconds.
     DelaysLines,
-    /// Changes a line on its way.
+    /// Sometimes changes a client line.
     CorruptsLines,
-    /// Keeps clients whose server has ended.
+    /// Keeps the connections of clients whose server has closed.
     KeepsOrphanedClients,
-    /// Ends its process at a stop with connections standing.
+    /// Ends its process on a stop while connections are established.
     ExitsImmediately,
 }
 
+/// All faults.
 pub const ALL_FAULTS: [Fault; 16] = [
     Fault::AnswersTwice,
     Fault::ClosesUnanswered,
@@ -76,208 +77,232 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Stage {
-    Greeting,
-    Calling,
-    Standing,
-    Parting,
+    AwaitingFirstLine,
+    SettingUp,
+    Established,
+    /// The last message is written; the client is to close the connection.
+    Closing,
 }
 
+/// A client's connection and its call. Times are in seconds of Unix time.
 struct Session {
     stage: Stage,
+    /// What the client has sent up to and including its first line.
     head: Vec<u8>,
-    wait: std::ops::Range<usize>,
-    kind: usize,
-    until: f64,
-    target: f64,
-    /// For one that is put back: its node.
-    at: Option<u64>,
+    /// Where the timeout stands in the first line.
+    timeout_range: std::ops::Range<usize>,
+    traffic_type: usize,
+    deadline: f64,
+    setup_deadline: f64,
+    /// The node that the client names, if its connection is to be restored there.
+    fixed_node: Option<u64>,
     leg: Option<usize>,
-    sent: u32,
-    tried: Vec<u64>,
-    /// The first leg that may have run: its zone, its cell, when.
-    ran: Option<(usize, u64, f64)>,
-    /// Its oldest line that has brought nothing back, and its load as told.
-    unanswered: Option<f64>,
+    legs_started: u32,
+    tried_nodes: Vec<u64>,
+    /// The zone, the cell and the end time of the first leg that may have run the call.
+    first_possible_run: Option<(usize, u64, f64)>,
+    /// When the oldest client line without a reply from the server was received.
+    unanswered_since: Option<f64>,
+    /// The load that the server last reported for this connection, in cores.
     load: f64,
-    down: LineScanner,
-    moving: bool,
-    timer: u64,
-    /// Tells this holder of the slot from later ones.
-    born: u64,
+    server_lines: LineScanner,
+    /// Whether the client is moved at the next end of a server line.
+    move_pending: bool,
+    /// The id of the timer that applies; older ones are ignored when they expire.
+    timer_id: u64,
+    /// The id of the session's first timer, which distinguishes the session from later ones in the same slot.
+    session_id: u64,
 }
 
+/// An attempt to set up a call at a node, then the connection itself.
 struct Leg {
     session: usize,
     node: u64,
-    sent: bool,
-    up: bool,
+    head_written: bool,
+    established: bool,
+    /// What the server has sent, until the connection is established.
     answer: Vec<u8>,
-    farewell: bool,
-    until: f64,
-    held: Vec<u8>,
+    /// Whether the server has sent `BYE` or `MOVE`.
+    end_announced: bool,
+    deadline: f64,
+    /// Client bytes that the fault `DelaysLines` keeps back.
+    delayed: Vec<u8>,
 }
 
 struct Node {
     name: String,
     zone: usize,
     cell: u64,
-    dial: SocketAddr,
+    address: SocketAddr,
     ready: bool,
     started: Option<f64>,
-    held: u32,
-    /// While cold: how many more may be sent, and as of when.
-    budget: f64,
-    budget_at: f64,
+    /// Legs of this proxy, in all stages.
+    legs: u32,
+    /// How many more legs may be started while the node is cold, as of `cold_budget_at`.
+    cold_budget: f64,
+    cold_budget_at: f64,
 }
 
-enum Due {
+/// What is due when a timer expires.
+enum Timer {
+    /// A session's timeout: its slot and the timer's id.
     Session(usize, u64),
+    /// A leg's timeout: its slot and the timer's id.
     Leg(usize, u64),
-    Leave(usize, u64),
+    /// A client is moved because the proxy stops: the session's slot and id.
+    MoveForStop(usize, u64),
+    /// The watch is opened again unless it is open.
     Watch,
-    Even,
+    Rebalance,
     Exit,
-    Hold(usize),
+    /// Delayed bytes are written to this leg.
+    WriteDelayed(usize),
 }
 
+/// The baseline proxy; its interface is the same as the reducer's.
 pub struct BaselineProxy {
     policy: Policy,
     fault: Option<Fault>,
-    truths: SharedSnapshots,
-    chance: Rand64,
-    traffic: Vec<TrafficType>,
-    known: Known,
+    snapshots: SharedSnapshots,
+    random: Rand64,
+    traffic_types: Vec<TrafficType>,
+    known_names: Known,
     groups: bool,
-    most_legs: u32,
-    stay_away: f64,
-    connect_limit: f64,
-    longest_guard: f64,
-    warm_after: f64,
-    siblings: f64,
-    crossing: f64,
-    home: usize,
+    max_legs: u32,
+    max_retry_after: f64,
+    connect_timeout: f64,
+    max_guard_time: f64,
+    warm_up_time: f64,
+    proxy_count: f64,
+    cross_zone_cost: f64,
+    home_zone: usize,
     nodes: BTreeMap<u64, Node>,
-    turn: usize,
+    round_robin_index: usize,
     sessions: Slab<Session>,
     legs: Slab<Leg>,
-    serial: u64,
-    timers: BTreeMap<(u64, u64), Due>,
-    answer: Option<WatchResponse>,
-    version: u64,
+    last_id: u64,
+    timers: BTreeMap<(u64, u64), Timer>,
+    watch_response: Option<WatchResponse>,
+    list_version: u64,
     discovery: SocketAddr,
-    stopping: Option<f64>,
+    stopping_since: Option<f64>,
     effects: Vec<Effect>,
 }
 
-/// A client whose line has brought nothing back for so long is moved.
-const SILENT: f64 = 5.0;
-/// The watch is asked for again after this.
-const WATCH_AGAIN: f64 = 0.3;
-const WATCH_SILENT: f64 = 2.6;
-/// The top moves connections off overdriven nodes this often.
-const EVEN: f64 = 0.25;
-/// And fills nodes up to this part of what they can do.
-const FULL: f64 = 0.93;
-/// Every so many-th thing goes wrong with one that is broken.
-const WRONG: u64 = 7;
+/// A client is moved when its server has not answered a line for this long, in seconds.
+const SERVER_SILENCE_TIMEOUT: f64 = 5.0;
+/// Delay before a lost watch is opened again, in seconds.
+const WATCH_RETRY_DELAY: f64 = 0.3;
+/// A watch that is not open after this time is opened again, in seconds.
+const WATCH_OPEN_TIMEOUT: f64 = 2.6;
+/// Interval at which the oracle moves connections off overloaded nodes, in seconds.
+const REBALANCE_INTERVAL: f64 = 0.25;
+/// Utilisation up to which the oracle fills a node.
+const MAX_UTILISATION: f64 = 0.93;
+/// A proxy with an intermittent fault misbehaves once in this many occasions on average.
+const FAULT_ODDS: u64 = 7;
 
 impl BaselineProxy {
+    /// A proxy that has just been started with the list of nodes that an earlier process stored.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         now: f64,
         startup: Startup,
-        of: &Experiment,
+        experiment: &Experiment,
         position: usize,
         seed: u128,
         discovery: SocketAddr,
-        remembered: &Value,
+        stored_list: &Value,
         policy: Policy,
         fault: Option<Fault>,
-        truths: SharedSnapshots,
+        snapshots: SharedSnapshots,
     ) -> BaselineProxy {
-        let (connect_limit, longest_guard, groups) =
+        let (connect_timeout, max_guard_time, groups) =
             (startup.connect_limit, startup.longest_guard, startup.groups);
-        let (traffic, known) = startup.traffic_and_names();
-        let mut plain = BaselineProxy {
+        let (traffic_types, known_names) = startup.traffic_and_names();
+        let mut proxy = BaselineProxy {
             policy,
             fault,
-            truths,
-            chance: Rand64::new(seed),
-            traffic,
-            known,
+            snapshots,
+            random: Rand64::new(seed),
+            traffic_types,
+            known_names,
             groups,
-            most_legs: of.rules.max_legs,
-            stay_away: of.rules.max_retry_after,
-            connect_limit,
-            longest_guard,
-            warm_after: of.machines.iter().map(|m| m.warm_up_time[1]).fold(0.0, f64::max),
-            siblings: of.fleet.proxies as f64,
-            crossing: of.rules.cross_zone_cost,
-            home: position % of.fleet.zones.len(),
+            max_legs: experiment.rules.max_legs,
+            max_retry_after: experiment.rules.max_retry_after,
+            connect_timeout,
+            max_guard_time,
+            warm_up_time: experiment.machines.iter().map(|m| m.warm_up_time[1]).fold(0.0, f64::max),
+            proxy_count: experiment.fleet.proxies as f64,
+            cross_zone_cost: experiment.rules.cross_zone_cost,
+            home_zone: position % experiment.fleet.zones.len(),
             nodes: BTreeMap::new(),
-            turn: 0,
+            round_robin_index: 0,
             sessions: Slab::new(),
             legs: Slab::new(),
-            serial: 0,
+            last_id: 0,
             timers: BTreeMap::new(),
-            answer: None,
-            version: 0,
+            watch_response: None,
+            list_version: 0,
             discovery,
-            stopping: None,
+            stopping_since: None,
             effects: Vec::new(),
         };
-        plain.list(now, remembered);
-        plain.follow(now);
+        proxy.apply_list(now, stored_list);
+        proxy.open_watch(now);
         if policy == Policy::Oracle {
-            plain.set(now + EVEN, Due::Even);
+            proxy.schedule(now + REBALANCE_INTERVAL, Timer::Rebalance);
         }
-        plain
+        proxy
     }
 
-    fn set(&mut self, at: f64, what: Due) {
-        self.serial += 1;
-        self.timers.insert(((at.max(0.0) * 1e6) as u64, self.serial), what);
+    /// Schedules a timer; its id is `last_id + 1` before the call and `last_id` after it.
+    fn schedule(&mut self, at: f64, timer: Timer) {
+        self.last_id += 1;
+        self.timers.insert(((at.max(0.0) * 1e6) as u64, self.last_id), timer);
     }
 
-    fn follow(&mut self, now: f64) {
-        self.effects.push(Effect::OpenWatch(self.discovery, self.version));
-        self.set(now + WATCH_SILENT, Due::Watch);
+    fn open_watch(&mut self, now: f64) {
+        self.effects.push(Effect::OpenWatch(self.discovery, self.list_version));
+        self.schedule(now + WATCH_OPEN_TIMEOUT, Timer::Watch);
     }
 
-    fn broken(&mut self, fault: Fault) -> bool {
-        self.fault == Some(fault) && self.chance.rand_u64().is_multiple_of(WRONG)
+    /// Whether a proxy with this fault misbehaves on this occasion.
+    fn misbehaves(&mut self, fault: Fault) -> bool {
+        self.fault == Some(fault) && self.random.rand_u64().is_multiple_of(FAULT_ODDS)
     }
 
-    fn list(&mut self, now: f64, told: &Value) {
-        let Ok((version, whole, entries)) = parse_list(told, &self.known.zones) else { return };
-        self.version = version;
-        let names: Vec<String> = told["hosts"]
+    /// Applies a list of nodes from discovery, either the whole list or the changes.
+    fn apply_list(&mut self, now: f64, list: &Value) {
+        let Ok((version, complete, entries)) = parse_list(list, &self.known_names.zones) else { return };
+        self.list_version = version;
+        let names: Vec<String> = list["hosts"]
             .as_array()
             .into_iter()
             .flatten()
             .map(|h| h["host"].as_str().unwrap_or("").to_owned())
             .collect();
-        if whole {
-            let gone: Vec<u64> =
+        if complete {
+            let removed: Vec<u64> =
                 self.nodes.keys().copied().filter(|id| !entries.iter().any(|(l, _)| l.id == *id)).collect();
-            gone.into_iter().for_each(|id| self.lose_node(now, id));
+            removed.into_iter().for_each(|id| self.remove_node(now, id));
         }
-        for ((listed, dial), name) in entries.into_iter().zip(names) {
+        for ((listed, address), name) in entries.into_iter().zip(names) {
             let ready = listed.state == ServerState::Ready || self.fault == Some(Fault::IgnoresDrains);
-            match (listed.state, dial) {
-                (ServerState::Gone, _) | (_, None) => self.lose_node(now, listed.id),
-                (_, Some(dial)) => {
-                    let held = self.nodes.get(&listed.id).map_or(0, |n| n.held);
+            match (listed.state, address) {
+                (ServerState::Gone, _) | (_, None) => self.remove_node(now, listed.id),
+                (_, Some(address)) => {
+                    let legs = self.nodes.get(&listed.id).map_or(0, |n| n.legs);
                     let node = Node {
                         name,
                         zone: listed.zone,
                         cell: listed.cell,
-                        dial,
+                        address,
                         ready,
                         started: listed.started,
-                        held,
-                        budget: 0.0,
-                        budget_at: now,
+                        legs,
+                        cold_budget: 0.0,
+                        cold_budget_at: now,
                     };
                     self.nodes.insert(listed.id, node);
                 }
@@ -285,26 +310,31 @@
         }
     }
 
-    fn lose_node(&mut self, now: f64, id: u64) {
+    /// Removes a node and moves its clients.
+    fn remove_node(&mut self, now: f64, id: u64) {
         if self.nodes.remove(&id).is_some() && self.fault != Some(Fault::IgnoresDrains) {
-            let there: Vec<usize> =
-                self.legs.iter().filter(|(_, l)| l.node == id && l.up).map(|(_, l)| l.session).collect();
-            there.into_iter().for_each(|key| self.move_away(now, key));
+            let sessions: Vec<usize> = self
+                .legs
+                .iter()
+                .filter(|(_, l)| l.node == id && l.established)
+                .map(|(_, l)| l.session)
+                .collect();
+            sessions.into_iter().for_each(|key| self.move_client(now, key));
         }
     }
 
-    /// Where a call goes, among the nodes that the rules leave it.
+    /// Chooses a node for a call by the policy, among the nodes that the rules allow.
     fn pick(&mut self, now: f64, key: usize) -> Option<u64> {
         let session = &self.sessions[key];
-        let kind = &self.traffic[session.kind];
-        let leaves_group = self.fault == Some(Fault::IgnoresRepeatScope);
-        let allowed = |node: &Node| match (kind.idempotency, session.ran) {
-            (Repeat::Repeatable, _) | (_, None) => true,
-            (Repeat::OnceOnly, Some(_)) => self.fault == Some(Fault::RepeatsOnceOnly),
-            (Repeat::Referenced(_), _) if leaves_group => true,
-            (Repeat::Referenced(group), Some((zone, cell, at))) => {
-                now - at < 0.8 * kind.repeat_window
-                    && match group {
+        let traffic_type = &self.traffic_types[session.traffic_type];
+        let ignores_scope = self.fault == Some(Fault::IgnoresRepeatScope);
+        let allowed = |node: &Node| match (traffic_type.idempotency, session.first_possible_run) {
+            (Idempotency::Repeatable, _) | (_, None) => true,
+            (Idempotency::OnceOnly, Some(_)) => self.fault == Some(Fault::RepeatsOnceOnly),
+            (Idempotency::Referenced(_), _) if ignores_scope => true,
+            (Idempotency::Referenced(scope), Some((zone, cell, at))) => {
+                now - at < 0.8 * traffic_type.repeat_window
+                    && match scope {
                         RepeatScope::All => true,
                         RepeatScope::Zone => zone == node.zone,
                         RepeatScope::Cell => zone == node.zone && cell == node.cell,
@@ -318,525 +348,549 @@
                 return Some(*id);
             }
         }
-        let mut fit: Vec<u64> = self
+        let mut candidates: Vec<u64> = self
             .nodes
             .iter()
             .filter(|(id, n)| {
-                n.ready && !session.tried.contains(id) && allowed(n) && self.warm_enough(now, n)
+                n.ready && !session.tried_nodes.contains(id) && allowed(n) && self.may_take_connection(now, n)
             })
             .map(|(id, _)| *id)
             .collect();
-        if fit.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let held = |id: &u64| self.nodes[id].held;
+        let legs = |id: &u64| self.nodes[id].legs;
         match self.policy {
-            Policy::Random => Some(fit[self.chance.rand_range(0..fit.len() as u64) as usize]),
+            Policy::Random => Some(candidates[self.random.rand_range(0..candidates.len() as u64) as usize]),
             Policy::RoundRobin => {
-                self.turn += 1;
-                Some(fit[self.turn % fit.len()])
+                self.round_robin_index += 1;
+                Some(candidates[self.round_robin_index % candidates.len()])
             }
             Policy::LeastOwnConnections => {
-                let least = fit.iter().map(held).min()?;
-                fit.retain(|id| self.nodes[id].held == least);
-                Some(fit[self.chance.rand_range(0..fit.len() as u64) as usize])
+                let fewest = candidates.iter().map(legs).min()?;
+                candidates.retain(|id| self.nodes[id].legs == fewest);
+                Some(candidates[self.random.rand_range(0..candidates.len() as u64) as usize])
             }
             Policy::TwoChoices => {
-                let one = fit[self.chance.rand_range(0..fit.len() as u64) as usize];
-                let two = fit[self.chance.rand_range(0..fit.len() as u64) as usize];
-                Some(if held(&one) <= held(&two) { one } else { two })
+                let first = candidates[self.random.rand_range(0..candidates.len() as u64) as usize];
+                let second = candidates[self.random.rand_range(0..candidates.len() as u64) as usize];
+                Some(if legs(&first) <= legs(&second) { first } else { second })
             }
-            Policy::Oracle => self.emptiest(&fit, self.sessions[key].load),
+            Policy::Oracle => self.pick_least_utilised(&candidates, self.sessions[key].load),
         }
     }
 
-    /// By what is truly there: the node that this load leaves emptiest, home ones before others at like load.
-    fn emptiest(&self, fit: &[u64], load: f64) -> Option<u64> {
-        let mut truths = self.truths.borrow_mut();
+    /// Chooses the node whose actual utilisation with this load added is lowest, and nodes of the proxy's own zone
+    /// before others of similar utilisation. Queueing delay adds to utilisation; a node must stay below
+    /// `MAX_UTILISATION`.
+    fn pick_least_utilised(&self, candidates: &[u64], load: f64) -> Option<u64> {
+        let mut snapshots = self.snapshots.borrow_mut();
         let mut best: Option<(f64, u64, usize)> = None;
-        for id in fit {
+        for id in candidates {
             let name = &self.nodes[id].name;
-            let Some(at) = truths.iter().position(|(n, _)| n == name) else { continue };
-            let truth = &truths[at].1;
-            if !truth.up || truth.error_share > 0.0 || truth.capacity <= 0.0 {
+            let Some(index) = snapshots.iter().position(|(n, _)| n == name) else { continue };
+            let state = &snapshots[index].1;
+            if !state.up || state.error_share > 0.0 || state.capacity <= 0.0 {
                 continue;
             }
-            let abroad = if truth.zone == self.home { 0.0 } else { self.crossing };
-            let full = (truth.load + load) / truth.capacity + 0.2 * truth.queueing_delay;
-            if full < FULL && best.is_none_or(|(least, ..)| full + abroad < least) {
-                best = Some((full + abroad, *id, at));
+            let crossing = if state.zone == self.home_zone { 0.0 } else { self.cross_zone_cost };
+            let utilisation = (state.load + load) / state.capacity + 0.2 * state.queueing_delay;
+            if utilisation < MAX_UTILISATION
+                && best.is_none_or(|(lowest, ..)| utilisation + crossing < lowest)
+            {
+                best = Some((utilisation + crossing, *id, index));
             }
         }
-        let (_, id, at) = best?;
-        // What has just been placed is seen by the others too.
-        truths[at].1.load += load;
+        let (_, id, index) = best?;
+        // The other proxies see the added load before the next snapshot.
+        snapshots[index].1.load += load;
         Some(id)
     }
 
-    fn warm_enough(&self, now: f64, node: &Node) -> bool {
+    /// Whether a leg may be started at this node now, as far as slow start is concerned.
+    fn may_take_connection(&self, now: f64, node: &Node) -> bool {
         let age = node.started.map_or(f64::INFINITY, |s| now - s);
-        age >= self.warm_after || self.budget(now, node) >= 1.0
+        age >= self.warm_up_time || self.cold_budget(now, node) >= 1.0
     }
 
-    /// While a node is cold, a proxy sends it its part of what a crowd of one a second in all would be.
-    fn budget(&self, now: f64, node: &Node) -> f64 {
-        (node.budget + (now - node.budget_at).max(0.0) * (2.0 / self.siblings).max(0.1)).min(1.5)
+    /// How many legs may be started at a cold node now. The budget of all proxies together grows by 2 per second, that
+    /// of a single proxy by at least 0.1 per second; unused budget is kept up to 1.5.
+    fn cold_budget(&self, now: f64, node: &Node) -> f64 {
+        (node.cold_budget + (now - node.cold_budget_at).max(0.0) * (2.0 / self.proxy_count).max(0.1)).min(1.5)
     }
 
-    fn next_leg(&mut self, now: f64, key: usize) {
+    /// Starts the next leg of a call, or fails the call if no leg or node is left.
+    fn start_next_leg(&mut self, now: f64, key: usize) {
         let session = &self.sessions[key];
-        let most = self.most_legs + u32::from(self.fault == Some(Fault::ExceedsMaxLegs)) * 2;
-        if session.sent >= most || now >= session.until {
-            return self.give_up(now, key);
+        let allowed_legs = self.max_legs + u32::from(self.fault == Some(Fault::ExceedsMaxLegs)) * 2;
+        if session.legs_started >= allowed_legs || now >= session.deadline {
+            return self.fail(now, key);
         }
-        let Some(id) = session.at.or_else(|| self.pick(now, key)) else { return self.give_up(now, key) };
-        if !self.nodes.contains_key(&id) {
-            return self.give_up(now, key);
+        let Some(chosen) = session.fixed_node.or_else(|| self.pick(now, key)) else {
+            return self.fail(now, key);
+        };
+        if !self.nodes.contains_key(&chosen) {
+            return self.fail(now, key);
         }
         let session = &mut self.sessions[key];
-        let left = session.until - now;
-        let last = session.sent + 1 >= self.most_legs || session.at.is_some();
-        let limit = if last { left } else { ((session.target - now) / 2.0).max(left / 8.0).min(left) };
-        session.sent += 1;
-        session.tried.push(id);
-        let node = self.nodes.get_mut(&id).expect("looked up a moment ago");
-        node.held += 1;
+        let time_left = session.deadline - now;
+        let is_last = session.legs_started + 1 >= self.max_legs || session.fixed_node.is_some();
+        let limit = if is_last {
+            time_left
+        } else {
+            ((session.setup_deadline - now) / 2.0).max(time_left / 8.0).min(time_left)
+        };
+        session.legs_started += 1;
+        session.tried_nodes.push(chosen);
+        let node = self.nodes.get_mut(&chosen).expect("looked up a moment ago");
+        node.legs += 1;
         if node.started.is_some() {
-            let age = (now - node.budget_at).max(0.0);
-            node.budget = (node.budget + age * (2.0 / self.siblings).max(0.1)).min(1.5) - 1.0;
-            node.budget_at = now;
+            let age = (now - node.cold_budget_at).max(0.0);
+            node.cold_budget = (node.cold_budget + age * (2.0 / self.proxy_count).max(0.1)).min(1.5) - 1.0;
+            node.cold_budget_at = now;
         }
-        let dial = node.dial;
+        let address = node.address;
         let leg = self.legs.insert(Leg {
             session: key,
-            node: id,
-            sent: false,
-            up: false,
+            node: chosen,
+            head_written: false,
+            established: false,
             answer: Vec::new(),
-            farewell: false,
-            until: now + limit,
-            held: Vec::new(),
+            end_announced: false,
+            deadline: now + limit,
+            delayed: Vec::new(),
         });
         self.sessions[key].leg = Some(leg);
-        self.effects.push(Effect::Connect(leg, dial));
-        let serial = self.serial + 1;
-        self.sessions[key].timer = serial;
-        self.set(now + self.connect_limit.min(limit), Due::Leg(leg, serial));
+        self.effects.push(Effect::Connect(leg, address));
+        let id = self.last_id + 1;
+        self.sessions[key].timer_id = id;
+        self.schedule(now + self.connect_timeout.min(limit), Timer::Leg(leg, id));
     }
 
-    /// The leg is over; the call goes on with another, or is answered.
-    fn leg_over(&mut self, now: f64, leg: usize, may_have_run: bool) {
+    /// Removes a leg and, if its call is not established, starts the next one.
+    fn finish_leg(&mut self, now: f64, leg: usize, may_have_run: bool) {
         let key = self.legs[leg].session;
-        self.drop_leg(leg, CloseKind::Abortive, may_have_run, now);
-        if self.sessions[key].stage == Stage::Calling {
-            self.next_leg(now, key);
+        self.remove_leg(leg, CloseKind::Abortive, may_have_run, now);
+        if self.sessions[key].stage == Stage::SettingUp {
+            self.start_next_leg(now, key);
         }
     }
 
-    fn drop_leg(&mut self, leg: usize, how: CloseKind, may_have_run: bool, now: f64) {
-        let gone = self.legs.remove(leg);
-        if let Some(node) = self.nodes.get_mut(&gone.node) {
-            node.held = node.held.saturating_sub(1);
-            if may_have_run && gone.sent {
-                let place = (node.zone, node.cell, now);
-                self.sessions[gone.session].ran.get_or_insert(place);
+    /// Removes a leg and closes its connection to the server.
+    fn remove_leg(&mut self, leg: usize, kind: CloseKind, may_have_run: bool, now: f64) {
+        let removed = self.legs.remove(leg);
+        if let Some(node) = self.nodes.get_mut(&removed.node) {
+            node.legs = node.legs.saturating_sub(1);
+            if may_have_run && removed.head_written {
+                let run = (node.zone, node.cell, now);
+                self.sessions[removed.session].first_possible_run.get_or_insert(run);
             }
         }
-        let session = &mut self.sessions[gone.session];
+        let session = &mut self.sessions[removed.session];
         if session.leg == Some(leg) {
             session.leg = None;
         }
-        self.effects.push(Effect::Close(Endpoint::Server(leg), how));
+        self.effects.push(Effect::Close(Endpoint::Server(leg), kind));
     }
 
-    fn give_up(&mut self, now: f64, key: usize) {
+    /// Answers a call that no server has accepted: `BUSY` if the client may repeat it elsewhere, otherwise `ERR`.
+    fn fail(&mut self, now: f64, key: usize) {
         let session = &self.sessions[key];
-        let kind = &self.traffic[session.kind];
-        let harmless = match kind.idempotency {
-            Repeat::Repeatable | Repeat::Referenced(RepeatScope::All) => true,
-            _ => session.ran.is_none() || self.fault == Some(Fault::RejectsPossiblyExecuted),
+        let traffic_type = &self.traffic_types[session.traffic_type];
+        let repeatable = match traffic_type.idempotency {
+            Idempotency::Repeatable | Idempotency::Referenced(RepeatScope::All) => true,
+            _ => session.first_possible_run.is_none() || self.fault == Some(Fault::RejectsPossiblyExecuted),
         };
-        if self.broken(Fault::ClosesUnanswered) {
-            return self.part(now, key, b"");
+        if self.misbehaves(Fault::ClosesUnanswered) {
+            return self.send_last_message(now, key, b"");
         }
-        if !harmless {
-            return self.part(now, key, b"ERR\r\n");
+        if !repeatable {
+            return self.send_last_message(now, key, b"ERR\r\n");
         }
-        let mut text = format!("BUSY {}\r\n", (self.stay_away * 1e3).ceil()).into_bytes();
+        let mut message = format!("BUSY {}\r\n", (self.max_retry_after * 1e3).ceil()).into_bytes();
         if self.fault == Some(Fault::AnswersTwice) {
-            text.extend_from_slice(b"ERR\r\n");
+            message.extend_from_slice(b"ERR\r\n");
         }
-        self.part(now, key, &text);
+        self.send_last_message(now, key, &message);
     }
 
-    /// The last word to a client.
-    fn part(&mut self, now: f64, key: usize, text: &[u8]) {
+    /// Writes the last message to a client and ends sending to it.
+    fn send_last_message(&mut self, now: f64, key: usize, message: &[u8]) {
         if let Some(leg) = self.sessions[key].leg {
-            self.drop_leg(leg, CloseKind::Graceful, false, now);
+            self.remove_leg(leg, CloseKind::Graceful, false, now);
         }
-        if !text.is_empty() {
-            self.effects.push(Effect::Write(Endpoint::Client(key), text.to_vec()));
+        if !message.is_empty() {
+            self.effects.push(Effect::Write(Endpoint::Client(key), message.to_vec()));
         }
         self.effects.push(Effect::ShutdownWrite(Endpoint::Client(key)));
-        self.sessions[key].stage = Stage::Parting;
-        let serial = self.serial + 1;
-        self.sessions[key].timer = serial;
-        self.set(now + self.longest_guard, Due::Session(key, serial));
+        self.sessions[key].stage = Stage::Closing;
+        let id = self.last_id + 1;
+        self.sessions[key].timer_id = id;
+        self.schedule(now + self.max_guard_time, Timer::Session(key, id));
     }
 
-    fn close(&mut self, now: f64, key: usize, how: CloseKind) {
+    /// Closes a client's connection and its leg.
+    fn close_session(&mut self, now: f64, key: usize, kind: CloseKind) {
         if let Some(leg) = self.sessions[key].leg {
-            self.drop_leg(leg, CloseKind::Graceful, false, now);
+            self.remove_leg(leg, CloseKind::Graceful, false, now);
         }
         self.sessions.remove(key);
-        self.effects.push(Effect::Close(Endpoint::Client(key), how));
+        self.effects.push(Effect::Close(Endpoint::Client(key), kind));
     }
 
-    fn move_away(&mut self, now: f64, key: usize) {
+    /// Sends `MOVE` to an established client, at the next end of a server line if the last line is not complete.
+    fn move_client(&mut self, now: f64, key: usize) {
         let Some(session) = self.sessions.get_mut(key) else { return };
-        if session.stage != Stage::Standing {
+        if session.stage != Stage::Established {
             return;
         }
-        if session.down.is_between_lines() {
-            self.part(now, key, b"MOVE\r\n");
+        if session.server_lines.is_between_lines() {
+            self.send_last_message(now, key, b"MOVE\r\n");
         } else {
-            session.moving = true;
+            session.move_pending = true;
         }
     }
 
-    fn client_said(&mut self, now: f64, key: usize, bytes: &[u8]) {
+    fn on_client_bytes(&mut self, now: f64, key: usize, bytes: &[u8]) {
         let Some(session) = self.sessions.get_mut(key) else { return };
         match session.stage {
-            Stage::Greeting => {
+            Stage::AwaitingFirstLine => {
                 session.head.extend_from_slice(bytes);
                 let end = match first_line_end(&session.head) {
                     Ok(Some(end)) => end,
                     Ok(None) => return,
-                    Err(_) => return self.part(now, key, b"ERR\r\n"),
+                    Err(_) => return self.send_last_message(now, key, b"ERR\r\n"),
                 };
-                let known = (&self.known, self.groups);
-                match parse_first_line(&session.head[..end], now, self.longest_guard, known.0, known.1) {
+                let known = (&self.known_names, self.groups);
+                match parse_first_line(&session.head[..end], now, self.max_guard_time, known.0, known.1) {
                     Ok(FirstLine::Ping) => {
                         session.head.drain(..end);
-                        if self.stopping.is_some() || self.nodes.is_empty() {
-                            return self.part(now, key, b"");
+                        if self.stopping_since.is_some() || self.nodes.is_empty() {
+                            return self.send_last_message(now, key, b"");
                         }
                         self.effects.push(Effect::Write(Endpoint::Client(key), b"PONG\r\n".to_vec()));
                     }
                     Ok(FirstLine::Open { wanted, wait_range, server_range, .. }) => {
-                        session.wait = wait_range;
-                        session.kind = wanted.traffic_type;
-                        session.until = wanted.deadline;
-                        session.target = now + self.traffic[wanted.traffic_type].setup_target;
+                        session.timeout_range = wait_range;
+                        session.traffic_type = wanted.traffic_type;
+                        session.deadline = wanted.deadline;
+                        session.setup_deadline = now + self.traffic_types[wanted.traffic_type].setup_target;
                         session.load = wanted.load_hint.unwrap_or(0.0);
-                        let at = server_range
-                            .map(|at| std::str::from_utf8(&session.head[at]).map_or(0, server_id));
-                        session.at = at;
-                        session.stage = Stage::Calling;
-                        if self.broken(Fault::NeverAnswers) {
+                        let fixed_node = server_range
+                            .map(|range| std::str::from_utf8(&session.head[range]).map_or(0, server_id));
+                        session.fixed_node = fixed_node;
+                        session.stage = Stage::SettingUp;
+                        if self.misbehaves(Fault::NeverAnswers) {
                             return;
                         }
-                        if self.broken(Fault::FabricatesAnswers) {
-                            return self.part(now, key, b"UP 0\r\n");
+                        if self.misbehaves(Fault::FabricatesAnswers) {
+                            return self.send_last_message(now, key, b"UP 0\r\n");
                         }
-                        self.next_leg(now, key);
+                        self.start_next_leg(now, key);
                         if self.fault == Some(Fault::OverlapsLegs) && self.sessions[key].leg.is_some() {
-                            self.sessions[key].at = None;
-                            self.next_leg(now, key);
+                            self.sessions[key].fixed_node = None;
+                            self.start_next_leg(now, key);
                         }
                     }
-                    Err(_) => self.part(now, key, b"ERR\r\n"),
+                    Err(_) => self.send_last_message(now, key, b"ERR\r\n"),
                 }
             }
-            Stage::Calling => {}
-            Stage::Standing => {
-                if session.unanswered.is_none() {
-                    session.unanswered = Some(now);
-                    let serial = self.serial + 1;
-                    session.timer = serial;
-                    self.set(now + SILENT, Due::Session(key, serial));
+            Stage::SettingUp => {}
+            Stage::Established => {
+                if session.unanswered_since.is_none() {
+                    session.unanswered_since = Some(now);
+                    let id = self.last_id + 1;
+                    session.timer_id = id;
+                    self.schedule(now + SERVER_SILENCE_TIMEOUT, Timer::Session(key, id));
                 }
                 let Some(leg) = self.sessions[key].leg else { return };
-                if self.broken(Fault::DelaysLines) {
-                    self.legs[leg].held.extend_from_slice(bytes);
-                    return self.set(now + 2.0, Due::Hold(leg));
+                if self.misbehaves(Fault::DelaysLines) {
+                    self.legs[leg].delayed.extend_from_slice(bytes);
+                    return self.schedule(now + 2.0, Timer::WriteDelayed(leg));
                 }
-                if !self.legs[leg].held.is_empty() {
-                    return self.legs[leg].held.extend_from_slice(bytes);
+                if !self.legs[leg].delayed.is_empty() {
+                    return self.legs[leg].delayed.extend_from_slice(bytes);
                 }
-                if self.broken(Fault::CorruptsLines) {
+                if self.misbehaves(Fault::CorruptsLines) {
                     let mut changed = bytes.to_vec();
                     changed[0] ^= 1;
                     return self.effects.push(Effect::Write(Endpoint::Server(leg), changed));
                 }
                 self.effects.push(Effect::Forward(Endpoint::Server(leg), 0..bytes.len()));
             }
-            Stage::Parting => {}
+            Stage::Closing => {}
         }
     }
 
-    fn server_said(&mut self, now: f64, leg: usize, bytes: &[u8]) {
+    fn on_server_bytes(&mut self, now: f64, leg: usize, bytes: &[u8]) {
         let Some(key) = self.legs.get(leg).map(|l| l.session) else { return };
-        if !self.holds(key, leg) {
+        if !self.owns_leg(key, leg) {
             return;
         }
-        let one = &mut self.legs[leg];
-        if one.up {
-            one.farewell = read_along(&mut self.sessions[key], bytes) || one.farewell;
+        let current = &mut self.legs[leg];
+        if current.established {
+            current.end_announced =
+                scan_server_lines(&mut self.sessions[key], bytes) || current.end_announced;
             self.effects.push(Effect::Forward(Endpoint::Client(key), 0..bytes.len()));
-            if self.sessions[key].moving {
-                self.move_away(now, key);
+            if self.sessions[key].move_pending {
+                self.move_client(now, key);
             } else if self.fault == Some(Fault::ClosesEstablished)
-                && self.chance.rand_u64().is_multiple_of(200)
+                && self.random.rand_u64().is_multiple_of(200)
             {
-                self.close(now, key, CloseKind::Graceful);
+                self.close_session(now, key, CloseKind::Graceful);
             }
             return;
         }
-        one.answer.extend_from_slice(bytes);
-        let Ok(Some(end)) = first_line_end(&one.answer) else { return };
-        match parse_server_message(trim_line_end(&one.answer[..end])) {
+        current.answer.extend_from_slice(bytes);
+        let Ok(Some(end)) = first_line_end(&current.answer) else { return };
+        match parse_server_message(trim_line_end(&current.answer[..end])) {
             ServerMessage::Up => {
-                one.up = true;
-                let said = std::mem::take(&mut one.answer);
+                current.established = true;
+                let received = std::mem::take(&mut current.answer);
                 let session = &mut self.sessions[key];
-                (session.stage, session.timer) = (Stage::Standing, 0);
+                (session.stage, session.timer_id) = (Stage::Established, 0);
                 if self.fault != Some(Fault::OverlapsLegs) {
                     session.head = Vec::new();
                 }
-                self.legs[leg].farewell = read_along(&mut self.sessions[key], &said);
-                self.effects.push(Effect::Write(Endpoint::Client(key), said));
-                if let Some(at) = self.stopping {
-                    self.set_leave(key, at);
+                self.legs[leg].end_announced = scan_server_lines(&mut self.sessions[key], &received);
+                self.effects.push(Effect::Write(Endpoint::Client(key), received));
+                if let Some(stop) = self.stopping_since {
+                    self.schedule_move_for_stop(key, stop);
                 }
             }
-            ServerMessage::Busy => self.leg_over(now, leg, false),
-            _ => self.leg_over(now, leg, true),
+            ServerMessage::Busy => self.finish_leg(now, leg, false),
+            _ => self.finish_leg(now, leg, true),
         }
     }
 
-    fn server_closed(&mut self, now: f64, leg: usize) {
-        let Some(one) = self.legs.get(leg) else { return };
-        let (key, up, sent) = (one.session, one.up, one.sent);
-        if !self.holds(key, leg) {
+    fn on_server_closed(&mut self, now: f64, leg: usize) {
+        let Some(current) = self.legs.get(leg) else { return };
+        let (key, established, head_written) = (current.session, current.established, current.head_written);
+        if !self.owns_leg(key, leg) {
             return;
         }
-        if !up {
-            return self.leg_over(now, leg, sent);
+        if !established {
+            return self.finish_leg(now, leg, head_written);
         }
         if self.fault == Some(Fault::KeepsOrphanedClients) {
-            self.sessions[key].timer = 0;
+            self.sessions[key].timer_id = 0;
             return;
         }
-        if one.farewell {
-            self.part(now, key, b"");
+        if current.end_announced {
+            self.send_last_message(now, key, b"");
         } else {
-            self.move_away(now, key);
+            self.move_client(now, key);
         }
     }
 
-    /// Whether a leg is its session's, and not overtaken by another as only a broken proxy's can be.
-    fn holds(&self, key: usize, leg: usize) -> bool {
+    /// Whether this is the session's current leg. Only a proxy with the fault `OverlapsLegs` has others.
+    fn owns_leg(&self, key: usize, leg: usize) -> bool {
         self.sessions.get(key).is_some_and(|s| s.leg == Some(leg))
     }
 
-    fn set_leave(&mut self, key: usize, stop: f64) {
-        let at = stop + 0.6 + 0.5 * self.longest_guard * self.chance.rand_float();
-        self.set(at, Due::Leave(key, self.sessions[key].born));
+    /// Schedules the move of a client after a stop, at a random time within half of the maximum guard time.
+    fn schedule_move_for_stop(&mut self, key: usize, stop: f64) {
+        let at = stop + 0.6 + 0.5 * self.max_guard_time * self.random.rand_float();
+        self.schedule(at, Timer::MoveForStop(key, self.sessions[key].session_id));
     }
 
     fn stop(&mut self, now: f64) {
         if self.fault == Some(Fault::ExitsImmediately) {
             return self.effects.push(Effect::Exit);
         }
-        self.stopping = Some(now);
-        let standing: Vec<usize> =
-            self.sessions.iter().filter(|(_, s)| s.stage == Stage::Standing).map(|(k, _)| k).collect();
-        standing.into_iter().for_each(|key| self.set_leave(key, now));
-        self.set(now + self.longest_guard + 0.6, Due::Exit);
+        self.stopping_since = Some(now);
+        let established: Vec<usize> =
+            self.sessions.iter().filter(|(_, s)| s.stage == Stage::Established).map(|(k, _)| k).collect();
+        established.into_iter().for_each(|key| self.schedule_move_for_stop(key, now));
+        self.schedule(now + self.max_guard_time + 0.6, Timer::Exit);
     }
 
-    /// The top's: moves the heaviest of its own off nodes that are asked more than they can do.
-    fn even(&mut self, now: f64) {
-        self.set(now + EVEN, Due::Even);
-        let over: Vec<(u64, f64)> = {
-            let truths = self.truths.borrow();
-            let mut over = Vec::new();
+    /// Moves this proxy's share of the excess load off overloaded nodes, starting with the connections of the highest
+    /// load. Only the oracle does this.
+    fn rebalance(&mut self, now: f64) {
+        self.schedule(now + REBALANCE_INTERVAL, Timer::Rebalance);
+        let overloaded: Vec<(u64, f64)> = {
+            let snapshots = self.snapshots.borrow();
+            let mut overloaded = Vec::new();
             for (id, node) in &self.nodes {
-                let truth = truths.iter().find(|(name, _)| *name == node.name).map(|(_, t)| *t);
-                let Some(truth) = truth.filter(|t| t.up && t.load > t.capacity) else { continue };
-                over.push((*id, (truth.load - FULL * truth.capacity) / self.siblings));
+                let state = snapshots.iter().find(|(name, _)| *name == node.name).map(|(_, state)| *state);
+                let Some(state) = state.filter(|s| s.up && s.load > s.capacity) else { continue };
+                overloaded.push((*id, (state.load - MAX_UTILISATION * state.capacity) / self.proxy_count));
             }
-            over
+            overloaded
         };
-        for (id, excess) in over {
-            let mut there: Vec<(usize, f64)> = self
+        for (id, excess) in overloaded {
+            let mut sessions: Vec<(usize, f64)> = self
                 .legs
                 .iter()
-                .filter(|(_, l)| l.node == id && l.up)
+                .filter(|(_, l)| l.node == id && l.established)
                 .map(|(_, l)| (l.session, self.sessions[l.session].load))
                 .collect();
-            there.sort_by(|a, b| b.1.total_cmp(&a.1));
-            let mut left = excess;
-            for (key, load) in there {
-                if left > 0.0 && load > 0.0 && load < 2.0 * left {
-                    left -= load;
-                    self.move_away(now, key);
+            sessions.sort_by(|a, b| b.1.total_cmp(&a.1));
+            let mut remaining = excess;
+            for (key, load) in sessions {
+                if remaining > 0.0 && load > 0.0 && load < 2.0 * remaining {
+                    remaining -= load;
+                    self.move_client(now, key);
                 }
             }
         }
     }
 
-    fn due(&mut self, now: f64, what: Due) {
-        match what {
-            Due::Session(key, serial) => {
-                let Some(session) = self.sessions.get(key).filter(|s| s.timer == serial) else { return };
+    fn on_timer(&mut self, now: f64, timer: Timer) {
+        match timer {
+            Timer::Session(key, id) => {
+                let Some(session) = self.sessions.get(key).filter(|s| s.timer_id == id) else { return };
                 match session.stage {
-                    Stage::Greeting | Stage::Parting => self.close(now, key, CloseKind::Graceful),
-                    Stage::Calling => {}
-                    Stage::Standing => match session.unanswered {
-                        Some(since) if now - since >= SILENT - 1e-3 => self.move_away(now, key),
+                    Stage::AwaitingFirstLine | Stage::Closing => {
+                        self.close_session(now, key, CloseKind::Graceful)
+                    }
+                    Stage::SettingUp => {}
+                    Stage::Established => match session.unanswered_since {
+                        Some(since) if now - since >= SERVER_SILENCE_TIMEOUT - 1e-3 => {
+                            self.move_client(now, key)
+                        }
                         Some(since) => {
-                            let serial = self.serial + 1;
-                            self.sessions[key].timer = serial;
-                            self.set(since + SILENT, Due::Session(key, serial));
+                            let id = self.last_id + 1;
+                            self.sessions[key].timer_id = id;
+                            self.schedule(since + SERVER_SILENCE_TIMEOUT, Timer::Session(key, id));
                         }
                         None => {}
                     },
                 }
             }
-            Due::Leg(leg, serial) => {
-                let Some(one) = self.legs.get(leg) else { return };
-                let (key, sent) = (one.session, one.sent);
-                if self.holds(key, leg) && self.sessions[key].timer == serial && !one.up {
-                    self.leg_over(now, leg, sent);
+            Timer::Leg(leg, id) => {
+                let Some(current) = self.legs.get(leg) else { return };
+                let (key, head_written) = (current.session, current.head_written);
+                if self.owns_leg(key, leg) && self.sessions[key].timer_id == id && !current.established {
+                    self.finish_leg(now, leg, head_written);
                 }
             }
-            Due::Leave(key, born) => {
-                if self.sessions.get(key).is_some_and(|s| s.born == born) {
-                    self.move_away(now, key);
+            Timer::MoveForStop(key, session_id) => {
+                if self.sessions.get(key).is_some_and(|s| s.session_id == session_id) {
+                    self.move_client(now, key);
                 }
             }
-            Due::Watch => {
-                if self.answer.is_none() {
+            Timer::Watch => {
+                if self.watch_response.is_none() {
                     self.effects.push(Effect::CloseWatch);
-                    self.follow(now);
+                    self.open_watch(now);
                 }
             }
-            Due::Even => self.even(now),
-            Due::Exit => self.effects.push(Effect::Exit),
-            Due::Hold(leg) => {
-                if let Some(one) = self.legs.get_mut(leg) {
-                    let held = std::mem::take(&mut one.held);
-                    self.effects.push(Effect::Write(Endpoint::Server(leg), held));
+            Timer::Rebalance => self.rebalance(now),
+            Timer::Exit => self.effects.push(Effect::Exit),
+            Timer::WriteDelayed(leg) => {
+                if let Some(current) = self.legs.get_mut(leg) {
+                    let delayed = std::mem::take(&mut current.delayed);
+                    self.effects.push(Effect::Write(Endpoint::Server(leg), delayed));
                 }
             }
         }
     }
 }
 
-/// Reads a server's lines along; whether the last told of the end.
-fn read_along(session: &mut Session, bytes: &[u8]) -> bool {
-    let mut farewell = false;
-    let (load, unanswered) = (&mut session.load, &mut session.unanswered);
-    session.down.feed(bytes, |line, _| match parse_server_message(line) {
-        ServerMessage::Load(told) => *load = told,
-        ServerMessage::Bye | ServerMessage::Move => farewell = true,
-        _ => *unanswered = None,
+/// Scans lines of a server for loads and replies; returns whether one of them was `BYE` or `MOVE`.
+fn scan_server_lines(session: &mut Session, bytes: &[u8]) -> bool {
+    let mut end_announced = false;
+    let (load, unanswered_since) = (&mut session.load, &mut session.unanswered_since);
+    session.server_lines.feed(bytes, |line, _| match parse_server_message(line) {
+        ServerMessage::Load(reported) => *load = reported,
+        ServerMessage::Bye | ServerMessage::Move => end_announced = true,
+        _ => *unanswered_since = None,
     });
-    farewell
+    end_announced
 }
 
 impl Proxy for BaselineProxy {
     fn step(&mut self, now: f64, event: Event) {
         match event {
             Event::Accepted => {
-                let serial = self.serial + 1;
+                let id = self.last_id + 1;
                 let key = self.sessions.insert(Session {
-                    stage: Stage::Greeting,
+                    stage: Stage::AwaitingFirstLine,
                     head: Vec::new(),
-                    wait: 0..0,
-                    kind: 0,
-                    until: now,
-                    target: now,
-                    at: None,
+                    timeout_range: 0..0,
+                    traffic_type: 0,
+                    deadline: now,
+                    setup_deadline: now,
+                    fixed_node: None,
                     leg: None,
-                    sent: 0,
-                    tried: Vec::new(),
-                    ran: None,
-                    unanswered: None,
+                    legs_started: 0,
+                    tried_nodes: Vec::new(),
+                    first_possible_run: None,
+                    unanswered_since: None,
                     load: 0.0,
-                    down: LineScanner::default(),
-                    moving: false,
-                    timer: serial,
-                    born: serial,
+                    server_lines: LineScanner::default(),
+                    move_pending: false,
+                    timer_id: id,
+                    session_id: id,
                 });
-                self.set(now + 2.5, Due::Session(key, serial));
+                self.schedule(now + 2.5, Timer::Session(key, id));
                 self.effects.push(Effect::AssignSession(key));
             }
-            Event::Bytes(Endpoint::Client(key), bytes) => self.client_said(now, key, bytes),
-            Event::Bytes(Endpoint::Server(leg), bytes) => self.server_said(now, leg, bytes),
-            Event::Closed(Endpoint::Client(key), how) => {
+            Event::Bytes(Endpoint::Client(key), bytes) => self.on_client_bytes(now, key, bytes),
+            Event::Bytes(Endpoint::Server(leg), bytes) => self.on_server_bytes(now, leg, bytes),
+            Event::Closed(Endpoint::Client(key), kind) => {
                 if self.sessions.contains(key) {
-                    self.close(now, key, how);
+                    self.close_session(now, key, kind);
                 }
             }
-            Event::Closed(Endpoint::Server(leg), _) => self.server_closed(now, leg),
+            Event::Closed(Endpoint::Server(leg), _) => self.on_server_closed(now, leg),
             Event::Connected(leg) => {
-                let Some(one) = self.legs.get(leg) else { return };
-                let (session, until) = (one.session, one.until);
+                let Some(current) = self.legs.get(leg) else { return };
+                let (session, deadline) = (current.session, current.deadline);
                 if !self.sessions.contains(session) {
                     return;
                 }
-                let timeout_ms = ((until - now) * 1e3).max(1.0) as u64;
-                let timeout_range = self.sessions[session].wait.clone();
+                let timeout_ms = ((deadline - now) * 1e3).max(1.0) as u64;
+                let timeout_range = self.sessions[session].timeout_range.clone();
                 self.effects.push(Effect::SendHead { leg, session, timeout_range, timeout_ms });
             }
             Event::ConnectFailed(leg) | Event::ConnectNotStarted(leg) => {
                 if self.legs.contains(leg) {
-                    self.leg_over(now, leg, false);
+                    self.finish_leg(now, leg, false);
                 }
             }
             Event::HeadWritten(leg) => {
-                let Some(one) = self.legs.get_mut(leg) else { return };
-                one.sent = true;
-                let (key, until) = (one.session, one.until);
-                let serial = self.serial + 1;
+                let Some(current) = self.legs.get_mut(leg) else { return };
+                current.head_written = true;
+                let (key, deadline) = (current.session, current.deadline);
+                let id = self.last_id + 1;
                 let Some(session) = self.sessions.get_mut(key) else { return };
-                session.timer = serial;
-                self.set(until, Due::Leg(leg, serial));
+                session.timer_id = id;
+                self.schedule(deadline, Timer::Leg(leg, id));
             }
-            Event::WatchOpened => self.answer = Some(WatchResponse::default()),
+            Event::WatchOpened => self.watch_response = Some(WatchResponse::default()),
             Event::WatchBytes(bytes) => {
-                let Some(mut answer) = self.answer.take() else { return };
+                let Some(mut response) = self.watch_response.take() else { return };
                 let mut lists: Vec<Value> = Vec::new();
                 let more =
-                    answer.feed(bytes, |line| lists.extend(serde_json::from_slice::<Value>(line).ok()));
+                    response.feed(bytes, |line| lists.extend(serde_json::from_slice::<Value>(line).ok()));
                 if matches!(more, Ok(true)) {
-                    self.answer = Some(answer);
+                    self.watch_response = Some(response);
                 }
-                lists.iter().for_each(|list| self.list(now, list));
+                lists.iter().for_each(|list| self.apply_list(now, list));
             }
             Event::WatchLost => {
-                self.answer = None;
-                self.set(now + WATCH_AGAIN, Due::Watch);
+                self.watch_response = None;
+                self.schedule(now + WATCH_RETRY_DELAY, Timer::Watch);
             }
             Event::Tick => {
                 while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 as f64 <= now * 1e6) {
-                    let what = entry.remove();
-                    self.due(now, what);
+                    let timer = entry.remove();
+                    self.on_timer(now, timer);
                 }
             }
             Event::Stop => self.stop(now),
-            // Only a proxy with a control socket is told these.
+            // These events come over the control socket, which a baseline proxy does not have.
             Event::Drain(_) | Event::Undrain | Event::Retire(_) => {}
             Event::Reconfigured(discovery, _) => {
-                (self.discovery, self.version, self.answer) = (discovery, 0, None);
-                self.follow(now);
+                (self.discovery, self.list_version, self.watch_response) = (discovery, 0, None);
+                self.open_watch(now);
             }
         }
-        let empty = self.sessions.is_empty();
-        if self.stopping.is_some_and(|at| now >= at + 0.5) && empty {
+        let is_idle = self.sessions.is_empty();
+        if self.stopping_since.is_some_and(|at| now >= at + 0.5) && is_idle {
             self.effects.push(Effect::Exit);
         }
     }
