--- a/crates/dewhead-lab/src/baseline.rs
+++ b/crates/dewhead-lab/src/baseline.rs
@@ -426,10 +426,10 @@
         if session.legs_started >= allowed_legs || now >= session.deadline {
             return self.fail(now, key);
         }
-        let Some(chosen) = session.fixed_node.or_else(|| self.pick(now, key)) else {
+        let Some(pick) = session.fixed_node.or_else(|| self.pick(now, key)) else {
             return self.fail(now, key);
         };
-        if !self.nodes.contains_key(&chosen) {
+        if !self.nodes.contains_key(&pick) {
             return self.fail(now, key);
         }
         let session = &mut self.sessions[key];
@@ -441,8 +441,8 @@
             ((session.setup_deadline - now) / 2.0).max(time_left / 8.0).min(time_left)
         };
         session.legs_started += 1;
-        session.tried_nodes.push(chosen);
-        let node = self.nodes.get_mut(&chosen).expect("looked up a moment ago");
+        session.tried_nodes.push(pick);
+        let node = self.nodes.get_mut(&pick).expect("looked up a moment ago");
         node.legs += 1;
         if node.started.is_some() {
             let age = (now - node.cold_budget_at).max(0.0);
@@ -452,7 +452,7 @@
         let address = node.address;
         let leg = self.legs.insert(Leg {
             session: key,
-            node: chosen,
+            node: pick,
             head_written: false,
             established: false,
             answer: Vec::new(),
