--- a/crates/dewhead-lab/src/baseline.rs
+++ b/crates/dewhead-lab/src/baseline.rs
@@ -426,10 +426,8 @@
         if session.legs_started >= allowed_legs || now >= session.deadline {
             return self.fail(now, key);
         }
-        let Some(pick) = session.fixed_node.or_else(|| self.pick(now, key)) else {
-            return self.fail(now, key);
-        };
-        if !self.nodes.contains_key(&pick) {
+        let Some(id) = session.fixed_node.or_else(|| self.pick(now, key)) else { return self.fail(now, key) };
+        if !self.nodes.contains_key(&id) {
             return self.fail(now, key);
         }
         let session = &mut self.sessions[key];
@@ -441,8 +439,8 @@
             ((session.setup_deadline - now) / 2.0).max(time_left / 8.0).min(time_left)
         };
         session.legs_started += 1;
-        session.tried_nodes.push(pick);
-        let node = self.nodes.get_mut(&pick).expect("looked up a moment ago");
+        session.tried_nodes.push(id);
+        let node = self.nodes.get_mut(&id).expect("looked up a moment ago");
         node.legs += 1;
         if node.started.is_some() {
             let age = (now - node.cold_budget_at).max(0.0);
@@ -452,7 +450,7 @@
         let address = node.address;
         let leg = self.legs.insert(Leg {
             session: key,
-            node: pick,
+            node: id,
             head_written: false,
             established: false,
             answer: Vec::new(),
@@ -462,9 +460,9 @@
         });
         self.sessions[key].leg = Some(leg);
         self.effects.push(Effect::Connect(leg, address));
-        let id = self.last_id + 1;
-        self.sessions[key].timer_id = id;
-        self.schedule(now + self.connect_timeout.min(limit), Timer::Leg(leg, id));
+        let timer_id = self.last_id + 1;
+        self.sessions[key].timer_id = timer_id;
+        self.schedule(now + self.connect_timeout.min(limit), Timer::Leg(leg, timer_id));
     }
 
     /// Removes a leg and, if its call is not established, starts the next one.
