--- a/crates/dewhead-lab/src/simulated.rs
+++ b/crates/dewhead-lab/src/simulated.rs
@@ -1,5 +1,5 @@
-//! The host in simulated time: whole fleets of real reducers, or of plain proxies, in one process, on one thread, with
-//! every byte and every moment set by the seed.
+//! The host in simulated time: runs a whole fleet of shipped reducers or of baseline proxies in one process on one
+//! thread. All bytes and times are determined by the seed.
 
 use crate::baseline::{BaselineProxy, Fault};
 use crate::policy::{self, Policy, SharedSnapshots};
@@ -17,14 +17,18 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::net::SocketAddr;
 
-/// What runs as a proxy: the reducer that is shipped, or a plain one of the lab's.
+/// The interface of a proxy: implemented by the shipped reducer and by the lab's baseline proxy. Times are in seconds
+/// of Unix time.
 pub trait Proxy {
+    /// Handles an event.
     fn step(&mut self, now: f64, event: Event);
+    /// Returns the effects of the events handled since the last call, in order.
     fn take_effects(&mut self) -> Vec<Effect>;
+    /// When the next timer expires.
     fn next_due(&self) -> Option<f64>;
     /// A session's first line, for `Effect::SendHead`.
     fn session_head(&self, session: usize) -> &[u8];
-    /// What it hands to one that takes its place; none where it can't be.
+    /// The state for a successor process; `None` if the proxy does not support handover.
     fn export_state(&self, _now: f64) -> Option<Value> {
         None
     }
@@ -48,75 +52,89 @@
     }
 }
 
-/// Who decides at the proxies.
+/// Which implementation runs as the proxies.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ProxyKind {
+    /// The shipped reducer.
     Dewhead,
+    /// The baseline proxy with this policy.
     Baseline(Policy),
-    /// A plain proxy that is broken on purpose, to try the auditor.
+    /// A baseline proxy with a fault, to test the auditor.
     Faulty(Fault),
 }
 
-/// Which of a process's ends a link is.
+/// What a link is to the process that has it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum At {
+enum LinkEnd {
+    /// A client's connection, with the session's slot.
     Client(usize),
+    /// A connection to a server, with the leg's slot.
     Leg(usize),
+    /// The watch on discovery.
     Watch,
 }
 
+/// A simulated process of a proxy.
 struct Process {
-    /// Which proxy's it is.
-    of: usize,
+    /// The index of its proxy.
+    proxy_index: usize,
     proxy: Box<dyn Proxy>,
     clients: Vec<Option<LinkKey>>,
     legs: Vec<Option<LinkKey>>,
     watch: Option<LinkKey>,
-    /// Versions asked for on the watch once it is up.
-    since: u64,
+    /// The list version after which changes are requested on the watch.
+    watch_version: u64,
     accepting: bool,
-    /// Clients in the listener's queue.
-    waiting: VecDeque<LinkKey>,
-    fresh: Option<LinkKey>,
-    due: Option<f64>,
+    /// Clients in the listener's accept queue.
+    accept_queue: VecDeque<LinkKey>,
+    /// An accepted client that has no session yet.
+    unassigned: Option<LinkKey>,
+    /// When the process is to be woken, by its own clock.
+    wake_at: Option<f64>,
 }
 
-/// The host.
+/// Connects the simulated world to proxies in this process.
 pub struct SimulatedHost {
+    /// The world of clients, nodes and discovery.
     pub world: World,
-    who: ProxyKind,
-    /// Processes that run, by their numbers; a number is not used again.
+    proxy_kind: ProxyKind,
+    /// Running processes by number; the numbers of ended ones are not reused.
     processes: Vec<Option<Process>>,
-    /// Each proxy's process that listens.
+    /// For each proxy, the number of the process that listens.
     current: Vec<Option<usize>>,
-    at: SecondaryMap<LinkKey, (usize, At)>,
-    /// When processes want to be woken, soonest first; entries that no longer hold are passed over.
-    due: BinaryHeap<Reverse<(u64, usize)>>,
-    truths: SharedSnapshots,
-    /// The world's effects while they are carried out; the buffer is kept.
+    /// For each link, the number of its process and what it is to that process.
+    links: SecondaryMap<LinkKey, (usize, LinkEnd)>,
+    /// When processes are to be woken, earliest first; entries that differ from the process's `wake_at` are skipped.
+    wake_queue: BinaryHeap<Reverse<(u64, usize)>>,
+    snapshots: SharedSnapshots,
+    /// A reused buffer for the world's effects.
     effects: Vec<world::Effect>,
-    looked: f64,
+    /// When the oracle's snapshots were taken, in seconds from the start.
+    snapshots_at: f64,
+    /// Seconds from the start of the run.
     now: f64,
-    /// Things that happened, for the measure of speed.
+    /// How many events have been processed; a measure of speed.
     pub events: u64,
 }
 
-/// What the top sees is so old at the most.
-const LOOK: f64 = 0.01;
+/// The oracle's snapshots are at most this old, in seconds.
+const SNAPSHOT_INTERVAL: f64 = 0.01;
 
-/// Half a microsecond.
-const TIMER_GRAIN: f64 = 5e-7;
+/// Added to timers, in seconds: half of the microsecond to which proxies round theirs down.
+const TIMER_ROUNDING: f64 = 5e-7;
 
+/// The address of a node in simulated time.
 fn node_address(node: usize) -> SocketAddr {
     SocketAddr::from(([10, 1, (node >> 8) as u8, node as u8], 8081))
 }
 
-fn agent_address(address: usize) -> SocketAddr {
-    SocketAddr::from(([10, 2, (address >> 8) as u8, address as u8], 8500))
+/// The address of a discovery agent in simulated time.
+fn agent_address(agent: usize) -> SocketAddr {
+    SocketAddr::from(([10, 2, (agent >> 8) as u8, agent as u8], 8500))
 }
 
-/// Which node, or which of discovery's addresses, an address is.
-fn place(address: SocketAddr) -> usize {
+/// The index of a node, or of a discovery agent, from its address.
+fn address_index(address: SocketAddr) -> usize {
     match address.ip() {
         std::net::IpAddr::V4(ip) => {
             let [.., high, low] = ip.octets();
@@ -126,7 +144,8 @@
     }
 }
 
-fn put(list: &mut Vec<Option<LinkKey>>, slot: usize, key: LinkKey) {
+/// Stores a link in a slot of a list that grows as needed.
+fn set_slot(list: &mut Vec<Option<LinkKey>>, slot: usize, key: LinkKey) {
     if list.len() <= slot {
         list.resize(slot + 1, None);
     }
@@ -134,69 +153,70 @@
 }
 
 impl SimulatedHost {
-    pub fn new(of: &Experiment, seed: u64, who: ProxyKind) -> SimulatedHost {
-        let mut world = World::new(of, seed);
+    /// A host at the start of a run.
+    pub fn new(experiment: &Experiment, seed: u64, proxy_kind: ProxyKind) -> SimulatedHost {
+        let mut world = World::new(experiment, seed);
         world.set_node_addresses(|_, n| node_address(n).to_string());
         let proxies = world.proxies.len();
         SimulatedHost {
             world,
-            who,
+            proxy_kind,
             processes: Vec::new(),
             current: vec![None; proxies],
-            at: SecondaryMap::new(),
-            due: BinaryHeap::new(),
-            truths: SharedSnapshots::default(),
+            links: SecondaryMap::new(),
+            wake_queue: BinaryHeap::new(),
+            snapshots: SharedSnapshots::default(),
             effects: Vec::new(),
-            looked: -1.0,
+            snapshots_at: -1.0,
             now: 0.0,
             events: 0,
         }
     }
 
-    /// Plays until this second.
+    /// Runs until this time, in seconds from the start.
     pub fn run(&mut self, until: f64) {
         loop {
-            let world = self.world.next_event_time().unwrap_or(f64::INFINITY);
+            let world_at = self.world.next_event_time().unwrap_or(f64::INFINITY);
             let process = self.next_process();
-            let at = process.map_or(f64::INFINITY, |(due, _)| due - EPOCH);
-            if world.min(at) > until {
+            let process_at = process.map_or(f64::INFINITY, |(due, _)| due - EPOCH);
+            if world_at.min(process_at) > until {
                 break;
             }
             self.events += 1;
-            if let Some((due, p)) = process.filter(|_| at <= world) {
-                self.now = self.now.max(at);
-                self.due.pop();
+            if let Some((due, p)) = process.filter(|_| process_at <= world_at) {
+                self.now = self.now.max(process_at);
+                self.wake_queue.pop();
                 if let Some(process) = &mut self.processes[p] {
-                    process.due = None;
+                    process.wake_at = None;
                 }
-                self.tell(p, due, Event::Tick, &[]);
+                self.deliver(p, due, Event::Tick, &[]);
             } else {
-                self.now = self.now.max(world);
-                self.world.step(world);
+                self.now = self.now.max(world_at);
+                self.world.step(world_at);
             }
-            self.carry_out();
+            self.apply_world_effects();
         }
     }
 
-    /// Sessions that processes hold.
+    /// How many sessions are open in all processes.
     pub fn open_sessions(&self) -> usize {
         self.processes.iter().flatten().map(|p| p.clients.iter().flatten().count()).sum()
     }
 
-    /// The process to be woken next, and when by its own clock.
+    /// When the next process is to be woken, by its own clock, and its number.
     fn next_process(&mut self) -> Option<(f64, usize)> {
-        while let Some(Reverse((bits, p))) = self.due.peek().copied() {
+        while let Some(Reverse((bits, p))) = self.wake_queue.peek().copied() {
             let due = f64::from_bits(bits);
-            if self.processes[p].as_ref().is_some_and(|one| one.due == Some(due)) {
+            if self.processes[p].as_ref().is_some_and(|one| one.wake_at == Some(due)) {
                 return Some((due, p));
             }
-            self.due.pop();
+            self.wake_queue.pop();
         }
         None
     }
 
-    /// What the world asks for, until it asks for nothing more.
-    fn carry_out(&mut self) {
+    /// Applies the world's effects until there are none left.
+    fn apply_world_effects(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         loop {
             self.world.take_effects(&mut effects);
@@ -204,86 +224,87 @@
                 break;
             }
             for effect in effects.drain(..) {
-                self.world_effect(effect);
+                self.apply_world_effect(effect);
             }
         }
         self.effects = effects;
     }
 
+    /// The proxies' clock: Unix time in seconds.
     fn clock(&self) -> f64 {
         EPOCH + self.now
     }
 
-    fn world_effect(&mut self, effect: world::Effect) {
+    fn apply_world_effect(&mut self, effect: world::Effect) {
         let clock = self.clock();
         match effect {
-            world::Effect::Start(p, known) => self.start(p, &known),
+            world::Effect::Start(p, stored_list) => self.start(p, &stored_list),
             world::Effect::Signal(p, Signal::Stop | Signal::StopGroup) => {
-                // The process that serves passes it on to those that retire.
+                // The serving process passes the signal on to the retiring ones.
                 for process in self.processes_of(p) {
-                    self.tell(process, clock, Event::Stop, &[]);
+                    self.deliver(process, clock, Event::Stop, &[]);
                 }
             }
-            // There is no other configuration to be read.
+            // The configuration never changes in simulated time.
             world::Effect::Signal(_, Signal::Reload) => {}
             world::Effect::Signal(p, Signal::Kill) => {
                 self.current[p] = None;
                 for process in self.processes_of(p) {
                     self.processes[process] = None;
                 }
-                self.at.retain(|_, (process, _)| self.processes[*process].is_some());
+                self.links.retain(|_, (process, _)| self.processes[*process].is_some());
                 self.world.on_exit(self.now, p);
             }
             world::Effect::Reconfigure(p, address) => {
                 let event = Event::Reconfigured(agent_address(address), self.world.experiment.proxy.sockets);
                 if let Some(p) = self.current[p] {
-                    self.tell(p, clock, event, &[]);
+                    self.deliver(p, clock, event, &[]);
                 }
             }
             world::Effect::Handover(p, leave_in) => self.hand_over(p, leave_in),
             world::Effect::Connect(key, p) => {
                 let Some(p) = self.current[p] else { return };
                 if let Some(process) = &mut self.processes[p] {
-                    process.waiting.push_back(key);
+                    process.accept_queue.push_back(key);
                     self.accept(p);
                 }
             }
-            world::Effect::Established(key) => match self.whose(key) {
-                Some((p, At::Leg(leg))) => self.tell(p, clock, Event::Connected(leg), &[]),
-                Some((p, At::Watch)) => {
-                    let since = self.processes[p].as_ref().map_or(0, |one| one.since);
-                    self.world.on_bytes(self.now, key, &http::watch_request("discovery", since));
-                    self.tell(p, clock, Event::WatchOpened, &[]);
+            world::Effect::Established(key) => match self.owner_of(key) {
+                Some((p, LinkEnd::Leg(leg))) => self.deliver(p, clock, Event::Connected(leg), &[]),
+                Some((p, LinkEnd::Watch)) => {
+                    let version = self.processes[p].as_ref().map_or(0, |one| one.watch_version);
+                    self.world.on_bytes(self.now, key, &http::watch_request("discovery", version));
+                    self.deliver(p, clock, Event::WatchOpened, &[]);
                 }
                 _ => {}
             },
-            world::Effect::Refused(key) => match self.refused(key) {
-                Some((p, At::Leg(leg))) => self.tell(p, clock, Event::ConnectFailed(leg), &[]),
-                Some((p, At::Watch)) => self.lose_watch(p),
+            world::Effect::Refused(key) => match self.remove_refused(key) {
+                Some((p, LinkEnd::Leg(leg))) => self.deliver(p, clock, Event::ConnectFailed(leg), &[]),
+                Some((p, LinkEnd::Watch)) => self.lose_watch(p),
                 _ => {}
             },
-            world::Effect::Bytes(key, bytes) => match self.whose(key) {
-                Some((p, At::Client(slot))) => {
-                    self.tell(p, clock, Event::Bytes(Endpoint::Client(slot), &bytes), &bytes);
+            world::Effect::Bytes(key, bytes) => match self.owner_of(key) {
+                Some((p, LinkEnd::Client(slot))) => {
+                    self.deliver(p, clock, Event::Bytes(Endpoint::Client(slot), &bytes), &bytes);
                 }
-                Some((p, At::Leg(leg))) => {
-                    self.tell(p, clock, Event::Bytes(Endpoint::Server(leg), &bytes), &bytes)
+                Some((p, LinkEnd::Leg(leg))) => {
+                    self.deliver(p, clock, Event::Bytes(Endpoint::Server(leg), &bytes), &bytes)
                 }
-                Some((p, At::Watch)) => self.tell(p, clock, Event::WatchBytes(&bytes), &[]),
+                Some((p, LinkEnd::Watch)) => self.deliver(p, clock, Event::WatchBytes(&bytes), &[]),
                 None => {}
             },
-            world::Effect::End(key, how) => {
-                let how =
-                    if how == world::EndKind::Broken { CloseKind::Abortive } else { CloseKind::Graceful };
-                match self.whose(key) {
-                    Some((p, At::Client(slot))) => {
-                        self.tell(p, clock, Event::Closed(Endpoint::Client(slot), how), &[])
+            world::Effect::End(key, kind) => {
+                let kind =
+                    if kind == world::EndKind::Broken { CloseKind::Abortive } else { CloseKind::Graceful };
+                match self.owner_of(key) {
+                    Some((p, LinkEnd::Client(slot))) => {
+                        self.deliver(p, clock, Event::Closed(Endpoint::Client(slot), kind), &[])
                     }
-                    Some((p, At::Leg(leg))) => {
-                        self.tell(p, clock, Event::Closed(Endpoint::Server(leg), how), &[])
+                    Some((p, LinkEnd::Leg(leg))) => {
+                        self.deliver(p, clock, Event::Closed(Endpoint::Server(leg), kind), &[])
                     }
-                    Some((p, At::Watch)) => {
-                        self.at.remove(key);
+                    Some((p, LinkEnd::Watch)) => {
+                        self.links.remove(key);
                         self.world.on_end(self.now, key, world::EndKind::Closed);
                         self.lose_watch(p);
                     }
@@ -293,135 +314,164 @@
         }
     }
 
-    fn whose(&self, key: LinkKey) -> Option<(usize, At)> {
-        self.at.get(key).copied()
+    /// The process of a link and what the link is to it.
+    fn owner_of(&self, key: LinkKey) -> Option<(usize, LinkEnd)> {
+        self.links.get(key).copied()
     }
 
-    /// A link that the world has given back already.
-    fn refused(&mut self, key: LinkKey) -> Option<(usize, At)> {
-        self.at.remove(key)
+    /// Like `owner_of`, for a link that the world has already released.
+    fn remove_refused(&mut self, key: LinkKey) -> Option<(usize, LinkEnd)> {
+        self.links.remove(key)
     }
 
+    /// Tells a process that its watch is closed.
     fn lose_watch(&mut self, p: usize) {
         if let Some(process) = &mut self.processes[p] {
             process.watch = None;
             let clock = self.clock();
-            self.tell(p, clock, Event::WatchLost, &[]);
+            self.deliver(p, clock, Event::WatchLost, &[]);
         }
     }
 
-    fn start(&mut self, p: usize, known: &Value) {
+    /// Starts the process of a proxy that has none.
+    fn start(&mut self, p: usize, stored_list: &Value) {
         if self.current[p].is_none() {
-            self.begin(p, known, None);
+            self.start_process(p, stored_list, None);
             self.world.on_listening(self.now, p);
         }
     }
 
-    /// A new process takes a running one's place, with what that has learned.
+    /// Starts a new process of a proxy with the state of the current one, which then retires.
     fn hand_over(&mut self, p: usize, leave_in: f64) {
         let clock = self.clock();
         let Some(old) = self.current[p] else { return };
-        let Some(handed) = self.processes[old].as_ref().and_then(|one| one.proxy.export_state(clock)) else {
+        let Some(exported) = self.processes[old].as_ref().and_then(|one| one.proxy.export_state(clock))
+        else {
             return;
         };
-        let Some(handed) = handover_state::decode(&handed) else { return };
-        let list = handed.list.clone();
-        self.begin(p, &list, Some(&handed));
-        self.tell(old, clock, Event::Retire(leave_in), &[]);
+        let Some(state) = handover_state::decode(&exported) else { return };
+        let list = state.list.clone();
+        self.start_process(p, &list, Some(&state));
+        self.deliver(old, clock, Event::Retire(leave_in), &[]);
     }
 
-    fn begin(&mut self, p: usize, known: &Value, handed: Option<&handover_state::HandoverState>) {
+    /// Starts a process of a proxy, from the state of its predecessor if there is one.
+    fn start_process(
+        &mut self,
+        p: usize,
+        stored_list: &Value,
+        inherited: Option<&handover_state::HandoverState>,
+    ) {
         let clock = self.clock();
-        let (of, seed) = (&self.world.experiment, u128::from(self.world.proxy_seed(p)));
-        let startup = Startup::read(&proxy_settings(of, p)).expect("the settings are the world's own");
+        let (experiment, seed) = (&self.world.experiment, u128::from(self.world.proxy_seed(p)));
+        let startup =
+            Startup::read(&proxy_settings(experiment, p)).expect("the world generates valid settings");
         let discovery = agent_address(self.world.discovery_address(p));
-        let plain = |policy, fault, startup| {
-            let truths = self.truths.clone();
-            Box::new(BaselineProxy::new(clock, startup, of, p, seed, discovery, known, policy, fault, truths))
+        let baseline = |policy, fault, startup| {
+            let snapshots = self.snapshots.clone();
+            Box::new(BaselineProxy::new(
+                clock,
+                startup,
+                experiment,
+                p,
+                seed,
+                discovery,
+                stored_list,
+                policy,
+                fault,
+                snapshots,
+            ))
         };
-        let proxy: Box<dyn Proxy> = match self.who {
+        let proxy: Box<dyn Proxy> = match self.proxy_kind {
             ProxyKind::Dewhead => {
-                let mut reducer = Reducer::new(clock, startup, seed, discovery, of.proxy.sockets, known);
-                if let Some(handed) = handed {
-                    reducer.import_state(clock, handed);
+                let mut reducer =
+                    Reducer::new(clock, startup, seed, discovery, experiment.proxy.sockets, stored_list);
+                if let Some(state) = inherited {
+                    reducer.import_state(clock, state);
                 }
                 Box::new(reducer)
             }
-            ProxyKind::Baseline(policy) => plain(policy, None, startup),
-            ProxyKind::Faulty(fault) => plain(Policy::LeastOwnConnections, Some(fault), startup),
+            ProxyKind::Baseline(policy) => baseline(policy, None, startup),
+            ProxyKind::Faulty(fault) => baseline(Policy::LeastOwnConnections, Some(fault), startup),
         };
         let process = Process {
-            of: p,
+            proxy_index: p,
             proxy,
             clients: Vec::new(),
             legs: Vec::new(),
             watch: None,
-            since: 0,
+            watch_version: 0,
             accepting: true,
-            waiting: VecDeque::new(),
-            fresh: None,
-            due: None,
+            accept_queue: VecDeque::new(),
+            unassigned: None,
+            wake_at: None,
         };
         self.current[p] = Some(self.processes.len());
         self.processes.push(Some(process));
-        self.apply(self.processes.len() - 1, clock, &[]);
+        self.apply_proxy_effects(self.processes.len() - 1, clock, &[]);
     }
 
-    /// The processes of a proxy, the one that serves and those that retire.
+    /// The numbers of a proxy's processes: the serving one and the retiring ones.
     fn processes_of(&self, p: usize) -> Vec<usize> {
-        let its = |one: &Option<Process>| one.as_ref().is_some_and(|one| one.of == p);
-        (0..self.processes.len()).filter(|n| its(&self.processes[*n])).collect()
+        let is_its = |one: &Option<Process>| one.as_ref().is_some_and(|one| one.proxy_index == p);
+        (0..self.processes.len()).filter(|n| is_its(&self.processes[*n])).collect()
     }
 
-    /// A process has ended by itself; its proxy is gone with the last.
-    fn end(&mut self, p: usize) {
+    /// Removes a process that has exited; its proxy has exited with the last of its processes.
+    fn end_process(&mut self, p: usize) {
         let Some(process) = self.processes[p].take() else { return };
-        let of = process.of;
+        let proxy_index = process.proxy_index;
         let ends = process.clients.iter().chain(&process.legs).flatten().chain(&process.watch);
-        let held: Vec<LinkKey> = ends.chain(&process.waiting).chain(&process.fresh).copied().collect();
-        for key in &held {
-            self.at.remove(*key);
+        let links: Vec<LinkKey> =
+            ends.chain(&process.accept_queue).chain(&process.unassigned).copied().collect();
+        for key in &links {
+            self.links.remove(*key);
         }
-        let served = self.current[of] == Some(p);
-        if served {
-            self.current[of] = None;
+        let was_serving = self.current[proxy_index] == Some(p);
+        if was_serving {
+            self.current[proxy_index] = None;
         }
-        if self.processes_of(of).is_empty() {
-            return self.world.on_exit(self.now, of);
+        if self.processes_of(proxy_index).is_empty() {
+            return self.world.on_exit(self.now, proxy_index);
         }
-        if served {
-            self.world.on_listener_closed(self.now, of);
+        if was_serving {
+            self.world.on_listener_closed(self.now, proxy_index);
         }
-        for key in held {
+        for key in links {
             self.world.on_end(self.now, key, world::EndKind::Broken);
         }
     }
 
+    /// Lets a process accept the clients in its queue.
     fn accept(&mut self, p: usize) {
         while let Some(process) = self.processes[p].as_mut().filter(|one| one.accepting) {
-            let Some(key) = process.waiting.pop_front() else { return };
-            process.fresh = Some(key);
+            let Some(key) = process.accept_queue.pop_front() else { return };
+            process.unassigned = Some(key);
             let clock = self.clock();
-            self.tell(p, clock, Event::Accepted, &[]);
+            self.deliver(p, clock, Event::Accepted, &[]);
         }
     }
 
-    fn tell(&mut self, p: usize, clock: f64, event: Event, bytes: &[u8]) {
-        if self.who == ProxyKind::Baseline(Policy::Oracle) && self.now - self.looked >= LOOK {
-            self.looked = self.now;
-            *self.truths.borrow_mut() = policy::snapshot_nodes(&self.world, self.now);
+    /// Delivers an event to a process, with the bytes that its effects may refer to, and applies the effects.
+    fn deliver(&mut self, p: usize, clock: f64, event: Event, bytes: &[u8]) {
+        if self.proxy_kind == ProxyKind::Baseline(Policy::Oracle)
+            && self.now - self.snapshots_at >= SNAPSHOT_INTERVAL
+        {
+            self.snapshots_at = self.now;
+            *self.snapshots.borrow_mut() = policy::snapshot_nodes(&self.world, self.now);
         }
         let Some(process) = &mut self.processes[p] else { return };
-        // As the loop does: timers that are due come before what the sockets have.
+        // As in the proxy's event loop, expired timers are handled before events of sockets.
         if !matches!(event, Event::Tick) && process.proxy.next_due().is_some_and(|at| at <= clock) {
             process.proxy.step(clock, Event::Tick);
-            self.apply(p, clock, &[]);
+            self.apply_proxy_effects(p, clock, &[]);
         }
         let Some(process) = &mut self.processes[p] else { return };
         process.proxy.step(clock, event);
-        self.apply(p, clock, bytes);
+        self.apply_proxy_effects(p, clock, bytes);
     }
 
+    /// The link of a process's client or leg.
     fn link(&self, p: usize, end: Endpoint) -> Option<LinkKey> {
         let process = self.processes[p].as_ref()?;
         match end {
@@ -430,16 +480,17 @@
         }
     }
 
-    fn say(&mut self, p: usize, end: Endpoint, bytes: &[u8]) {
+    /// Sends bytes from a process on one of its links.
+    fn send(&mut self, p: usize, end: Endpoint, bytes: &[u8]) {
         if let Some(key) = self.link(p, end).filter(|_| !bytes.is_empty()) {
             self.world.on_bytes(self.now, key, bytes);
         }
     }
 
-    /// Carries out what a process asks for, and what it asks for meanwhile.
-    fn apply(&mut self, p: usize, clock: f64, bytes: &[u8]) {
+    /// Applies the effects of a process, and those that follow from them.
+    fn apply_proxy_effects(&mut self, p: usize, clock: f64, bytes: &[u8]) {
         let mut written: Vec<usize> = Vec::new();
-        let of = self.processes[p].as_ref().map_or(0, |one| one.of);
+        let proxy_index = self.processes[p].as_ref().map_or(0, |one| one.proxy_index);
         let effects = self.processes[p].as_mut().map_or(Vec::new(), |one| one.proxy.take_effects());
         let mut accept = false;
         let mut exit = false;
@@ -447,17 +498,17 @@
             match effect {
                 Effect::AssignSession(slot) => {
                     if let Some(process) = &mut self.processes[p] {
-                        if let Some(key) = process.fresh.take() {
-                            put(&mut process.clients, slot, key);
-                            self.at.insert(key, (p, At::Client(slot)));
+                        if let Some(key) = process.unassigned.take() {
+                            set_slot(&mut process.clients, slot, key);
+                            self.links.insert(key, (p, LinkEnd::Client(slot)));
                         }
                     }
                 }
-                Effect::Connect(leg, to) => {
-                    let key = self.world.on_dial(self.now, of, Target::Node(place(to)));
-                    self.at.insert(key, (p, At::Leg(leg)));
+                Effect::Connect(leg, address) => {
+                    let key = self.world.on_dial(self.now, proxy_index, Target::Node(address_index(address)));
+                    self.links.insert(key, (p, LinkEnd::Leg(leg)));
                     if let Some(process) = &mut self.processes[p] {
-                        put(&mut process.legs, leg, key);
+                        set_slot(&mut process.legs, leg, key);
                     }
                 }
                 Effect::SendHead { leg, session, timeout_range, timeout_ms } => {
@@ -473,25 +524,25 @@
                         ]
                         .concat()
                     };
-                    self.say(p, Endpoint::Server(leg), &text);
+                    self.send(p, Endpoint::Server(leg), &text);
                     written.push(leg);
                 }
-                Effect::Forward(end, range) => self.say(p, end, &bytes[range]),
-                Effect::Write(end, text) => self.say(p, end, &text),
+                Effect::Forward(end, range) => self.send(p, end, &bytes[range]),
+                Effect::Write(end, text) => self.send(p, end, &text),
                 Effect::ShutdownWrite(end) => {
                     if let Some(key) = self.link(p, end) {
                         self.world.on_end(self.now, key, world::EndKind::Finished);
                     }
                 }
-                Effect::Close(end, how) => {
+                Effect::Close(end, kind) => {
                     if let Some(key) = self.link(p, end) {
-                        let how = if how == CloseKind::Abortive {
+                        let kind = if kind == CloseKind::Abortive {
                             world::EndKind::Broken
                         } else {
                             world::EndKind::Closed
                         };
-                        self.at.remove(key);
-                        self.world.on_end(self.now, key, how);
+                        self.links.remove(key);
+                        self.world.on_end(self.now, key, kind);
                         if let Some(process) = &mut self.processes[p] {
                             match end {
                                 Endpoint::Client(slot) => process.clients[slot] = None,
@@ -500,40 +551,41 @@
                         }
                     }
                 }
-                Effect::SetAccepting(on) => {
+                Effect::SetAccepting(accepting) => {
                     if let Some(process) = &mut self.processes[p] {
-                        process.accepting = on;
-                        accept |= on;
+                        process.accepting = accepting;
+                        accept |= accepting;
                     }
                 }
-                Effect::OpenWatch(to, since) => {
-                    self.unfollow(p);
-                    let key = self.world.on_dial(self.now, of, Target::Agent(place(to)));
-                    self.at.insert(key, (p, At::Watch));
+                Effect::OpenWatch(address, version) => {
+                    self.close_watch(p);
+                    let key =
+                        self.world.on_dial(self.now, proxy_index, Target::Agent(address_index(address)));
+                    self.links.insert(key, (p, LinkEnd::Watch));
                     if let Some(process) = &mut self.processes[p] {
-                        (process.watch, process.since) = (Some(key), since);
+                        (process.watch, process.watch_version) = (Some(key), version);
                     }
                 }
-                Effect::CloseWatch => self.unfollow(p),
+                Effect::CloseWatch => self.close_watch(p),
                 Effect::Exit => exit = true,
             }
         }
         if exit {
-            return self.end(p);
+            return self.end_process(p);
         }
         if let Some(process) = &mut self.processes[p] {
-            // A little later, as timers are kept in whole microseconds.
-            let due = process.proxy.next_due().map(|at| at.max(clock) + TIMER_GRAIN);
-            if due != process.due {
-                process.due = due;
-                // Times are positive, so that their bits order as they do.
-                self.due.extend(due.map(|at| Reverse((at.to_bits(), p))));
+            // Proxies keep timers in whole microseconds; waking slightly later ensures that they have expired.
+            let wake_at = process.proxy.next_due().map(|at| at.max(clock) + TIMER_ROUNDING);
+            if wake_at != process.wake_at {
+                process.wake_at = wake_at;
+                // The bit patterns of positive floating-point numbers have the order of the numbers.
+                self.wake_queue.extend(wake_at.map(|at| Reverse((at.to_bits(), p))));
             }
         }
         for leg in written {
             if let Some(process) = &mut self.processes[p] {
                 process.proxy.step(clock, Event::HeadWritten(leg));
-                self.apply(p, clock, &[]);
+                self.apply_proxy_effects(p, clock, &[]);
             }
         }
         if accept {
@@ -541,9 +593,10 @@
         }
     }
 
-    fn unfollow(&mut self, p: usize) {
+    /// Closes a process's watch.
+    fn close_watch(&mut self, p: usize) {
         if let Some(key) = self.processes[p].as_mut().and_then(|one| one.watch.take()) {
-            self.at.remove(key);
+            self.links.remove(key);
             self.world.on_end(self.now, key, world::EndKind::Closed);
         }
     }
