--- a/crates/dewhead-lab/tests/simulated.rs
+++ b/crates/dewhead-lab/tests/simulated.rs
@@ -1,5 +1,5 @@
-//! The world in simulated time: determinism, the auditor against proxies that are broken on purpose, rules kept by those
-//! that are not, and nothing left over.
+//! Runs in simulated time: they are deterministic, the auditor detects faulty proxies and finds no violations by
+//! correct ones, and nothing leaks.
 
 use dewhead_lab::baseline::{Fault, ALL_FAULTS};
 use dewhead_lab::policy::Policy;
@@ -8,8 +8,8 @@
 use dewhead_world::audit::Rule;
 use dewhead_world::experiment::Experiment;
 
-/// Small, short, and with something of everything: three effects, errors, deaths, drains, restarts.
-const ROUGH: &str = r#"
+/// A small, short experiment with all three kinds of idempotency, errors, node restarts, drains and proxy restarts.
+const MIXED_TROUBLES: &str = r#"
 seconds = 30
 [fleet]
 proxies = 2
@@ -60,29 +60,30 @@
 part = 0.4
 "#;
 
-fn rough() -> Experiment {
-    Experiment::parse(ROUGH).expect("it is sound")
+fn mixed_troubles() -> Experiment {
+    Experiment::parse(MIXED_TROUBLES).expect("the experiment is valid")
 }
 
-fn task(seed: u64, who: ProxyKind) -> Task {
-    Task { point: String::new(), experiment: rough(), seed, proxy: who }
+fn task(seed: u64, proxy: ProxyKind) -> Task {
+    Task { point: String::new(), experiment: mixed_troubles(), seed, proxy }
 }
 
 #[test]
-fn the_same_seed_is_the_same_trace_on_one_thread_and_on_many() {
+fn equal_seeds_give_equal_digests_on_one_thread_and_on_many() {
     let tasks: Vec<Task> = [1, 2, 3, 1].iter().map(|s| task(*s, ProxyKind::Dewhead)).collect();
-    let many = run_tasks(&tasks, false);
-    let one: Vec<_> = tasks.iter().map(run_task).collect();
-    let digests =
-        |of: &[dewhead_lab::runs::RunResult]| of.iter().map(|p| p.digest.clone()).collect::<Vec<_>>();
-    assert_eq!(digests(&many), digests(&one));
-    assert_eq!(many[0].digest, many[3].digest);
-    assert_ne!(many[0].digest, many[1].digest, "another seed is another trace");
+    let parallel = run_tasks(&tasks, false);
+    let sequential: Vec<_> = tasks.iter().map(run_task).collect();
+    let digests = |results: &[dewhead_lab::runs::RunResult]| {
+        results.iter().map(|r| r.digest.clone()).collect::<Vec<_>>()
+    };
+    assert_eq!(digests(&parallel), digests(&sequential));
+    assert_eq!(parallel[0].digest, parallel[3].digest);
+    assert_ne!(parallel[0].digest, parallel[1].digest, "another seed gives another trace");
 }
 
 #[test]
-fn who_breaks_nothing_is_told_of_nothing() {
-    for who in [
+fn correct_proxies_have_no_violations() {
+    for proxy in [
         ProxyKind::Dewhead,
         ProxyKind::Baseline(Policy::Random),
         ProxyKind::Baseline(Policy::RoundRobin),
@@ -91,15 +92,19 @@
         ProxyKind::Baseline(Policy::Oracle),
     ] {
         for seed in [1, 2] {
-            let played = run_task(&task(seed, who));
-            assert!(played.violations.is_empty(), "{who:?}, seed {seed}: {:#?}", played.violations[0]);
-            assert!(played.outcome.counts.completed > 100, "{who:?} serves: {:?}", played.outcome.counts);
+            let result = run_task(&task(seed, proxy));
+            assert!(result.violations.is_empty(), "{proxy:?}, seed {seed}: {:#?}", result.violations[0]);
+            assert!(
+                result.outcome.counts.completed > 100,
+                "{proxy:?} completes calls: {:?}",
+                result.outcome.counts
+            );
         }
     }
 }
 
-/// The rule that each broken proxy breaks.
-fn broken_by(fault: Fault) -> Rule {
+/// The rule that a proxy with this fault violates.
+fn violated_rule(fault: Fault) -> Rule {
     match fault {
         Fault::AnswersTwice | Fault::ClosesUnanswered | Fault::NeverAnswers | Fault::FabricatesAnswers => {
             Rule::OneAnswer
@@ -113,74 +118,80 @@
     }
 }
 
-fn caught(of: Experiment, seed: u64, fault: Fault) -> Result<(), String> {
-    let played =
-        run_task(&Task { point: String::new(), experiment: of, seed, proxy: ProxyKind::Faulty(fault) });
-    let caught = played.violations.iter().find(|b| b.rule == broken_by(fault));
-    let rules: Vec<_> = played.violations.iter().map(|b| b.rule).collect();
-    let caught = caught.ok_or_else(|| format!("{fault:?} is not caught: {rules:?}"))?;
-    assert!(caught.call.is_none() || !caught.trace.is_empty(), "a call's breach comes with its trace");
+/// Checks that the auditor reports the right rule for a proxy with this fault.
+fn check_detected(experiment: Experiment, seed: u64, fault: Fault) -> Result<(), String> {
+    let result = run_task(&Task { point: String::new(), experiment, seed, proxy: ProxyKind::Faulty(fault) });
+    let detected = result.violations.iter().find(|v| v.rule == violated_rule(fault));
+    let rules: Vec<_> = result.violations.iter().map(|v| v.rule).collect();
+    let detected = detected.ok_or_else(|| format!("{fault:?} is not detected: {rules:?}"))?;
+    assert!(detected.call.is_none() || !detected.trace.is_empty(), "a violation of a call has its trace");
     Ok(())
 }
 
 #[test]
-fn each_broken_proxy_is_caught_by_the_right_rule() {
+fn each_faulty_proxy_is_detected_by_the_right_rule() {
     for fault in ALL_FAULTS.into_iter().filter(|f| *f != Fault::FloodsColdNodes) {
-        caught(rough(), 1, fault).unwrap();
+        check_detected(mixed_troubles(), 1, fault).unwrap();
     }
 }
 
-/// Whether a flooded node falls hangs on what comes just then, and so on the order of the nodes by their numbers: one draw
-/// alone, which it was once, tells little. Of these ten most have to, and on each one caught is for the right rule.
+/// Whether a flooded node crashes depends on the load at that moment, and so on the order of the nodes' ids. A single
+/// seed therefore proves little: the fault has to be detected, by the right rule, on at least 6 of 10 seeds.
 #[test]
-fn a_proxy_that_floods_cold_nodes_is_caught_on_most_days() {
-    let flooded = |seed: &u64| {
-        let mut of = rough();
-        // One that has just started gets all of a crowd that asks for more than it can do.
-        of.load.utilisation = 0.9;
-        of.node.max_queue = 60.0;
-        of.machines.iter_mut().for_each(|m| m.cold_share = [0.1, 0.1]);
-        caught(of, *seed, Fault::FloodsColdNodes).is_ok()
+fn a_proxy_that_floods_cold_nodes_is_detected_on_most_seeds() {
+    let is_detected = |seed: &u64| {
+        let mut experiment = mixed_troubles();
+        // A node that has just started gets all calls, which is more load than it can serve.
+        experiment.load.utilisation = 0.9;
+        experiment.node.max_queue = 60.0;
+        experiment.machines.iter_mut().for_each(|m| m.cold_share = [0.1, 0.1]);
+        check_detected(experiment, *seed, Fault::FloodsColdNodes).is_ok()
     };
-    let days = (1..=10).filter(flooded).count();
-    println!("caught on {days} of 10 days");
-    assert!(days >= 6, "caught on {days} of 10 days");
+    let detected = (1..=10).filter(is_detected).count();
+    println!("detected on {detected} of 10 seeds");
+    assert!(detected >= 6, "detected on {detected} of 10 seeds");
 }
 
 #[test]
-fn nothing_is_left_over_once_clients_come_no_more() {
+fn no_links_calls_or_sessions_leak_after_arrivals_stop() {
     for seed in 1..=3 {
-        let mut of = rough();
-        of.seconds = 20.0;
-        let mut host = SimulatedHost::new(&of, seed, ProxyKind::Dewhead);
+        let mut experiment = mixed_troubles();
+        experiment.seconds = 20.0;
+        let mut host = SimulatedHost::new(&experiment, seed, ProxyKind::Dewhead);
         host.run(20.0);
         assert!(host.world.open_links() > 20);
         host.world.stop_arrivals();
-        // As long as the longest life there is, and what comes after a move.
+        // Longer than the longest connection, including reconnections after a move.
         host.run(2000.0);
-        // What stays is each proxy's watch.
-        assert_eq!(host.world.open_links(), of.fleet.proxies, "links are left over");
-        assert_eq!(host.world.audit.open_calls(), 0, "calls are left over");
-        assert_eq!(host.open_sessions(), 0, "sessions are left over");
+        // Only each proxy's watch remains.
+        assert_eq!(host.world.open_links(), experiment.fleet.proxies, "links leak");
+        assert_eq!(host.world.audit.open_calls(), 0, "calls leak");
+        assert_eq!(host.open_sessions(), 0, "sessions leak");
     }
 }
 
-/// A release with four times the budget that the rule leaves: the sum of all proxies is over the limit, though no node falls.
+/// A release with four times the start budget that the rule allows: the sum over all proxies exceeds the limit,
+/// although no node crashes.
 #[test]
-fn budgets_that_are_too_high_are_seen_by_the_sum_over_all_proxies() {
+fn excessive_start_budgets_are_detected_by_the_sum_over_all_proxies() {
     let release =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../experiments/release.toml"));
-    let mut of = Experiment::parse(&release.expect("it is there")).expect("it is sound");
-    let breaches = |of: &Experiment, seed| {
-        let played =
-            run_task(&Task { point: String::new(), experiment: of.clone(), seed, proxy: ProxyKind::Dewhead });
-        let cold: Vec<_> = played.violations.into_iter().filter(|b| b.rule == Rule::ColdNodes).collect();
-        assert_eq!(played.outcome.counts.nodes_crashed, 0, "seed {seed}");
+    let mut experiment =
+        Experiment::parse(&release.expect("the file exists")).expect("the experiment is valid");
+    let cold_violations = |experiment: &Experiment, seed| {
+        let result = run_task(&Task {
+            point: String::new(),
+            experiment: experiment.clone(),
+            seed,
+            proxy: ProxyKind::Dewhead,
+        });
+        let cold: Vec<_> = result.violations.into_iter().filter(|v| v.rule == Rule::ColdNodes).collect();
+        assert_eq!(result.outcome.counts.nodes_crashed, 0, "seed {seed}");
         cold.len()
     };
     for seed in 1..=3 {
-        assert_eq!(breaches(&of, seed), 0, "seed {seed}: told what the rule is");
+        assert_eq!(cold_violations(&experiment, seed), 0, "seed {seed}: the budget of the rule");
     }
-    of.proxy.configured_overload_multiple = Some(4.0 * of.rules.overload_multiple);
-    assert!((1..=3).any(|seed| breaches(&of, seed) > 0), "told four times that");
+    experiment.proxy.configured_overload_multiple = Some(4.0 * experiment.rules.overload_multiple);
+    assert!((1..=3).any(|seed| cold_violations(&experiment, seed) > 0), "four times that budget");
 }
--- a/crates/dewhead-lab/tests/sockets.rs
+++ b/crates/dewhead-lab/tests/sockets.rs
@@ -1,21 +1,21 @@
-//! The world on real sockets with the real proxy: rules kept through restarts, a drain, a death, silence and a new
-//! configuration, and nothing left over.
+//! A run on real sockets with real proxy processes: no violations through restarts, a drain, a node's crash and
+//! silence, and a new configuration, and no sockets leak.
 
 use dewhead_lab::sockets::{LaunchOptions, SocketHost};
 use dewhead_world::experiment::Experiment;
 use std::path::PathBuf;
 use std::process::Command;
 
-/// The proxy's binary, built if need be: tests of one package don't build another's.
-fn proxy() -> PathBuf {
+/// The proxy's binary. It is built here, because cargo does not build the binaries of other packages for a test.
+fn build_proxy() -> PathBuf {
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
     let built =
         Command::new(cargo).args(["build", "--locked", "-p", "dewhead-proxy", "--bin", "dewhead"]).status();
-    assert!(built.expect("cargo runs").success());
-    dewhead_lab::sockets::find_proxy_binary().expect("it was built a moment ago")
+    assert!(built.expect("cargo starts").success());
+    dewhead_lab::sockets::find_proxy_binary().expect("the binary has just been built")
 }
 
-const ROUGH: &str = r#"
+const MIXED_TROUBLES: &str = r#"
 seconds = 14
 [fleet]
 proxies = 2
@@ -63,19 +63,22 @@
 "#;
 
 #[test]
-fn the_rules_are_kept_on_sockets_and_nothing_is_left_over() {
-    let of = Experiment::parse(ROUGH).expect("it is sound");
-    let programs = LaunchOptions { proxy_binary: proxy(), log_dir: None, faults: None };
-    let mut host = SocketHost::new(&of, 1, programs).expect("it starts");
-    host.run(of.seconds, |_, _| {}).expect("it plays");
+fn no_violations_and_no_leaked_sockets_on_loopback() {
+    let experiment = Experiment::parse(MIXED_TROUBLES).expect("the experiment is valid");
+    let options = LaunchOptions { proxy_binary: build_proxy(), log_dir: None, faults: None };
+    let mut host = SocketHost::new(&experiment, 1, options).expect("the host starts");
+    host.run(experiment.seconds, |_, _| {}).expect("the run completes");
     let counts = host.world.service.counts.clone();
     assert!(counts.completed > 100, "{counts:?}");
     assert!(counts.moved > 0, "the drain and the stop move clients: {counts:?}");
     assert!(counts.misbehaving_clients > 50, "{counts:?}");
-    assert_eq!(counts.misbehaving_clients_unanswered, 0, "each bad client is owed an end: {counts:?}");
-    let breaches = &host.world.audit.violations;
-    assert!(breaches.is_empty(), "{:#?}", breaches[0]);
-    // All that is open is a link that the world knows; none is forgotten.
+    assert_eq!(
+        counts.misbehaving_clients_unanswered, 0,
+        "each bad client gets an end of its connection: {counts:?}"
+    );
+    let violations = &host.world.audit.violations;
+    assert!(violations.is_empty(), "{:#?}", violations[0]);
+    // Up to a tolerance of 8, every open socket belongs to a link that the world knows.
     assert!(
         host.open_sockets() <= host.world.open_links() + 8,
         "{} sockets, {} links",
