--- a/crates/dewhead-lab/src/baseline.rs
+++ b/crates/dewhead-lab/src/baseline.rs
@@ -440,7 +440,7 @@
         };
         session.legs_started += 1;
         session.tried_nodes.push(id);
-        let node = self.nodes.get_mut(&id).expect("looked up a moment ago");
+        let node = self.nodes.get_mut(&id).expect("the node is known");
         node.legs += 1;
         if node.started.is_some() {
             let age = (now - node.cold_budget_at).max(0.0);
--- a/crates/dewhead-lab/src/simulated.rs
+++ b/crates/dewhead-lab/src/simulated.rs
@@ -207,7 +207,7 @@
     fn next_process(&mut self) -> Option<(f64, usize)> {
         while let Some(Reverse((bits, p))) = self.wake_queue.peek().copied() {
             let due = f64::from_bits(bits);
-            if self.processes[p].as_ref().is_some_and(|one| one.wake_at == Some(due)) {
+            if self.processes[p].as_ref().is_some_and(|process| process.wake_at == Some(due)) {
                 return Some((due, p));
             }
             self.wake_queue.pop();
@@ -272,7 +272,7 @@
             world::Effect::Established(key) => match self.owner_of(key) {
                 Some((p, LinkEnd::Leg(leg))) => self.deliver(p, clock, Event::Connected(leg), &[]),
                 Some((p, LinkEnd::Watch)) => {
-                    let version = self.processes[p].as_ref().map_or(0, |one| one.watch_version);
+                    let version = self.processes[p].as_ref().map_or(0, |process| process.watch_version);
                     self.world.on_bytes(self.now, key, &http::watch_request("discovery", version));
                     self.deliver(p, clock, Event::WatchOpened, &[]);
                 }
@@ -345,7 +345,8 @@
     fn hand_over(&mut self, p: usize, leave_in: f64) {
         let clock = self.clock();
         let Some(old) = self.current[p] else { return };
-        let Some(exported) = self.processes[old].as_ref().and_then(|one| one.proxy.export_state(clock))
+        let Some(exported) =
+            self.processes[old].as_ref().and_then(|process| process.proxy.export_state(clock))
         else {
             return;
         };
@@ -413,7 +414,8 @@
 
     /// The numbers of a proxy's processes: the serving one and the retiring ones.
     fn processes_of(&self, p: usize) -> Vec<usize> {
-        let is_its = |one: &Option<Process>| one.as_ref().is_some_and(|one| one.proxy_index == p);
+        let is_its =
+            |process: &Option<Process>| process.as_ref().is_some_and(|process| process.proxy_index == p);
         (0..self.processes.len()).filter(|n| is_its(&self.processes[*n])).collect()
     }
 
@@ -444,7 +446,7 @@
 
     /// Lets a process accept the clients in its queue.
     fn accept(&mut self, p: usize) {
-        while let Some(process) = self.processes[p].as_mut().filter(|one| one.accepting) {
+        while let Some(process) = self.processes[p].as_mut().filter(|process| process.accepting) {
             let Some(key) = process.accept_queue.pop_front() else { return };
             process.unassigned = Some(key);
             let clock = self.clock();
@@ -490,8 +492,8 @@
     /// Applies the effects of a process, and those that follow from them.
     fn apply_proxy_effects(&mut self, p: usize, clock: f64, bytes: &[u8]) {
         let mut written: Vec<usize> = Vec::new();
-        let proxy_index = self.processes[p].as_ref().map_or(0, |one| one.proxy_index);
-        let effects = self.processes[p].as_mut().map_or(Vec::new(), |one| one.proxy.take_effects());
+        let proxy_index = self.processes[p].as_ref().map_or(0, |process| process.proxy_index);
+        let effects = self.processes[p].as_mut().map_or(Vec::new(), |process| process.proxy.take_effects());
         let mut accept = false;
         let mut exit = false;
         for effect in effects {
@@ -595,7 +597,7 @@
 
     /// Closes a process's watch.
     fn close_watch(&mut self, p: usize) {
-        if let Some(key) = self.processes[p].as_mut().and_then(|one| one.watch.take()) {
+        if let Some(key) = self.processes[p].as_mut().and_then(|process| process.watch.take()) {
             self.links.remove(key);
             self.world.on_end(self.now, key, world::EndKind::Closed);
         }
--- a/crates/dewhead-lab/src/sockets/addresses.rs
+++ b/crates/dewhead-lab/src/sockets/addresses.rs
@@ -8,7 +8,7 @@
 const BLOCKS: std::ops::RangeInclusive<u8> = 2..=250;
 /// A run owns a block while it listens on this port of 127.N.255.254.
 const CLAIM_PORT: u16 = 61_999;
-/// Each proxy has its own address; this many are in one /24 subnet.
+/// Each proxy has its own address; this many are in one /24 subnet of 256 addresses.
 const PROXIES_PER_SUBNET: usize = 250;
 
 /// A block of addresses that this run owns until the value is dropped.
--- a/crates/dewhead-lab/src/sockets/processes.rs
+++ b/crates/dewhead-lab/src/sockets/processes.rs
@@ -61,7 +61,7 @@
 
     /// Starts a process that takes over from the serving one.
     pub(super) fn hand_over(&mut self, p: usize, leave_in: f64) -> Result<(), String> {
-        if !self.processes[p].as_ref().is_some_and(|one| one.listening) {
+        if !self.processes[p].as_ref().is_some_and(|process| process.listening) {
             return Ok(());
         }
         let config = self.folder.join(format!("proxy-{p}.json"));
@@ -165,7 +165,7 @@
         self.apply_effects()
     }
 
-    /// Records a process that has exited with an error or by a signal of its own.
+    /// Records a process that has exited by itself with an error or by a signal.
     fn record_exit(&mut self, now: f64, p: usize, status: ExitStatus) {
         if !status.success() {
             self.crashes.push(format!("proxy {p}: a process ended at {now:.3} s with {status}"));
