--- a/crates/dewhead-lab/src/commands/compare.rs
+++ b/crates/dewhead-lab/src/commands/compare.rs
@@ -1,6 +1,6 @@
 //! `compare`: paired differences between two policies or builds on the same seeds, with confidence intervals.
 
-use crate::runs::{self, Read, Task};
+use crate::runs::{self, ComparedRun, Task};
 use crate::stats;
 use argh::FromArgs;
 use std::path::{Path, PathBuf};
@@ -57,7 +57,7 @@
                     let differences: Vec<f64> = values.iter().map(|(x, y)| x - y).collect();
                     let mean_of =
                         |n: fn(&(f64, f64)) -> f64| stats::mean(&values.iter().map(n).collect::<Vec<_>>());
-                    (mean_of(|p| p.0), mean_of(|p| p.1), stats::interval(&differences))
+                    (mean_of(|p| p.0), mean_of(|p| p.1), stats::confidence_interval(&differences))
                 };
                 let (service, worst) = (difference_of(|x| x.2), difference_of(|x| x.3));
                 let format_difference =
@@ -83,24 +83,24 @@
         if let Some(other_build) = side.strip_prefix("lab:") {
             return run_other_build(Path::new(other_build), file, &self.seeds);
         }
-        let (experiment, who) = (runs::read(file)?, runs::who(side)?);
+        let (experiment, who) = (runs::read_experiment(file)?, runs::parse_proxy_kind(side)?);
         let points = experiment.matrix_points().map_err(|e| format!("{}: {e}", file.display()))?;
-        let seeds = runs::seeds(&self.seeds)?;
+        let seeds = runs::parse_seeds(&self.seeds)?;
         let tasks: Vec<Task> = points
             .iter()
             .flat_map(|(point, experiment)| {
                 seeds.iter().map(|seed| Task {
                     point: point.clone(),
-                    of: experiment.clone(),
+                    experiment: experiment.clone(),
                     seed: *seed,
-                    who,
+                    proxy: who,
                 })
             })
             .collect();
-        let played = runs::play_all(&tasks, true);
+        let played = runs::run_tasks(&tasks, true);
         Ok(played
             .into_iter()
-            .map(|p| (p.point, p.seed, p.outcome.service, p.outcome.worst_ten_seconds, p.breaches.len()))
+            .map(|p| (p.point, p.seed, p.outcome.service, p.outcome.worst_ten_seconds, p.violations.len()))
             .collect())
     }
 }
@@ -124,8 +124,15 @@
     let _ = std::fs::remove_dir_all(&output_dir);
     text.lines()
         .map(|line| {
-            let read: Read = serde_json::from_str(line).map_err(|e| format!("{}: {e}", path.display()))?;
-            Ok((read.point, read.seed, read.outcome.service, read.outcome.worst_ten, read.breaches.len()))
+            let read: ComparedRun =
+                serde_json::from_str(line).map_err(|e| format!("{}: {e}", path.display()))?;
+            Ok((
+                read.point,
+                read.seed,
+                read.outcome.service,
+                read.outcome.worst_ten_seconds,
+                read.violations.len(),
+            ))
         })
         .collect()
 }
--- a/crates/dewhead-lab/src/commands/demo.rs
+++ b/crates/dewhead-lab/src/commands/demo.rs
@@ -1,7 +1,7 @@
 //! `demo`: two real proxies, four nodes and their clients on loopback, with a live display.
 
 use crate::runs;
-use crate::sockets::{self, Programs, Sockets};
+use crate::sockets::{self, LaunchOptions, SocketHost};
 use argh::FromArgs;
 use dewhead_world::experiment::{Experiment, Trouble};
 use dewhead_world::world::World;
@@ -103,16 +103,7 @@
         }
         let proxies: Vec<String> = world.proxies.iter().map(|p| p.connections.to_string()).collect();
         let counts = &world.service.counts;
-        let status = format!(
-            "{now:.0} s: connections at the proxies {}; calls {}, completed {}, rejected {}, failed {}, moved {}; breaches {}",
-            proxies.join(" + "),
-            counts.calls,
-            counts.completed,
-            counts.rejected,
-            counts.failed + counts.unanswered,
-            counts.moved,
-            world.audit.violations.len()
-        );
+        let status = format!("{now:.0} s: connections at the proxies {}; calls {}, completed {}, rejected {}, failed {}, moved {}; breaches {}", proxies.join(" + "), counts.calls, counts.completed, counts.rejected, counts.failed + counts.unanswered, counts.moved, world.audit.violations.len());
         if self.plain_text && now >= self.next_print {
             self.next_print = now + 5.0;
             eprintln!("{status}");
@@ -130,16 +121,16 @@
         if let Some(dir) = &self.logs {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
         }
-        let proxy = self.proxy.clone().map_or_else(sockets::beside, Ok)?;
+        let proxy = self.proxy.clone().map_or_else(sockets::find_proxy_binary, Ok)?;
         let start = Instant::now();
         let proxy_name = proxy.display().to_string();
-        let programs = Programs { proxy, logs: self.logs.clone(), faults: None };
-        let mut host = Sockets::new(&demo_experiment(self.seconds)?, 1, programs)?;
+        let programs = LaunchOptions { proxy_binary: proxy, log_dir: self.logs.clone(), faults: None };
+        let mut host = SocketHost::new(&demo_experiment(self.seconds)?, 1, programs)?;
         let mut view = ProgressView::new(&host.world);
         host.run(self.seconds, |world, now| view.show(world, now))?;
         view.bars.iter().chain([&view.status_line]).for_each(ProgressBar::finish);
         let lateness = host.lateness;
-        let played = sockets::played(&mut host.world, "", 1, proxy_name, lateness, start);
+        let played = sockets::collect_result(&mut host.world, "", 1, proxy_name, lateness, start);
         let (outcome, counts) = (&played.outcome, &played.outcome.counts);
         println!(
             "{:.0} seconds, {} clients, {} calls: {} completed, {} rejected, {} failed",
@@ -160,10 +151,15 @@
             outcome.setup_times[0] * 1e3,
             outcome.setup_times[1] * 1e3
         );
-        println!("moved {}, broken {}, rules broken: {}", counts.moved, counts.broken, played.breaches.len());
-        for breach in &played.breaches {
-            runs::tell_breach(breach, "(the demo)", 1, "dewhead");
+        println!(
+            "moved {}, broken {}, rules broken: {}",
+            counts.moved,
+            counts.broken,
+            played.violations.len()
+        );
+        for breach in &played.violations {
+            runs::print_violation(breach, "(the demo)", 1, "dewhead");
         }
-        Ok(played.breaches.is_empty())
+        Ok(played.violations.is_empty())
     }
 }
--- a/crates/dewhead-lab/src/commands/hunt.rs
+++ b/crates/dewhead-lab/src/commands/hunt.rs
@@ -1,6 +1,6 @@
 //! `hunt`: searches for combinations of troubles that dewhead handles worst.
 
-use crate::hunt::{self, Find};
+use crate::hunt::{self, Finding};
 use crate::runs;
 use argh::FromArgs;
 use dewhead_world::experiment::Experiment;
@@ -37,13 +37,13 @@
     /// Runs the command; returns whether no combination that was found violated a rule.
     pub fn execute(&self) -> Result<bool, String> {
         let base = match &self.base {
-            Some(path) => runs::read(path)?,
+            Some(path) => runs::read_experiment(path)?,
             None => Experiment::default(),
         };
         let end = Instant::now() + Duration::from_secs_f64((self.minutes * 60.0).clamp(0.0, 1e6));
         let progress = ProgressBar::new_spinner();
         let best = hunt::search(&base, self.seed, |round, played, best| {
-            let worst = best.first().map_or(0.0, |f| f.lost);
+            let worst = best.first().map_or(0.0, |f| f.loss);
             progress.set_message(format!("{played} combinations played, the worst loses {worst:.3}"));
             progress.tick();
             self.rounds.map_or(Instant::now() < end, |limit| round < limit)
@@ -52,20 +52,20 @@
         let mut no_violations = true;
         for (i, find) in best.iter().enumerate() {
             println!("{}", summary(i + 1, find));
-            no_violations &= find.breaches == 0;
+            no_violations &= find.violations == 0;
         }
         if let Some(dir) = &self.out {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
             for (i, find) in best.iter().take(self.keep).enumerate() {
                 let mut shrunk = hunt::shrink(find);
-                let kinds = hunt::kinds(&shrunk.of).join(", ");
-                shrunk.of.name = format!("worst-{}", i + 1);
-                shrunk.of.description = format!(
+                let kinds = hunt::trouble_kinds(&shrunk.experiment).join(", ");
+                shrunk.experiment.name = format!("worst-{}", i + 1);
+                shrunk.experiment.description = format!(
                     "found by a hunt and shrunk: {kinds}; the top reaches {:.3} there and dewhead {:.3}",
-                    shrunk.top, shrunk.service
+                    shrunk.oracle_service, shrunk.dewhead_service
                 );
-                shrunk.of.seeds = vec![shrunk.seed];
-                let text = toml::to_string(&shrunk.of).map_err(|e| e.to_string())?;
+                shrunk.experiment.seeds = vec![shrunk.seed];
+                let text = toml::to_string(&shrunk.experiment).map_err(|e| e.to_string())?;
                 let path = dir.join(format!("worst-{}.toml", i + 1));
                 std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
                 println!("{}: {}", path.display(), summary(i + 1, &shrunk));
@@ -76,9 +76,9 @@
 }
 
 /// A found combination as one line of text.
-fn summary(rank: usize, find: &Find) -> String {
+fn summary(rank: usize, find: &Finding) -> String {
     let troubles: Vec<String> = find
-        .of
+        .experiment
         .troubles
         .iter()
         .map(|t| {
@@ -87,11 +87,11 @@
         .collect();
     format!(
         "{rank}. loses {:.3}: top {:.3}, dewhead {:.3}, breaches {}, load {}; {}",
-        find.lost,
-        find.top,
-        find.service,
-        find.breaches,
-        find.of.load.utilisation,
+        find.loss,
+        find.oracle_service,
+        find.dewhead_service,
+        find.violations,
+        find.experiment.load.utilisation,
         troubles.join("; ")
     )
 }
--- a/crates/dewhead-lab/src/commands/replay.rs
+++ b/crates/dewhead-lab/src/commands/replay.rs
@@ -26,12 +26,17 @@
 impl Replay {
     /// Runs the command; returns whether no rule was violated.
     pub fn execute(&self) -> Result<bool, String> {
-        let experiment = runs::read(&self.file)?;
+        let experiment = runs::read_experiment(&self.file)?;
         let points = experiment.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
         let (point, of) = points.get(self.point).ok_or("--point: the matrix has fewer points")?.clone();
-        let played = runs::play(&Task { point, of, seed: self.seed, who: runs::who(&self.policy)? });
+        let played = runs::run_task(&Task {
+            point,
+            experiment: of,
+            seed: self.seed,
+            proxy: runs::parse_proxy_kind(&self.policy)?,
+        });
         print_run(&played);
-        for (time, annotation) in &played.marks {
+        for (time, annotation) in &played.annotations {
             println!("{time:>10.3}  {annotation}");
         }
         for (second, (wanted, served)) in played.outcome.demand.iter().zip(&played.outcome.served).enumerate()
@@ -41,9 +46,9 @@
             println!("{second:>6} s  {share:.3}  {bar}");
         }
         println!("digest {}, {} events", played.digest, played.events);
-        for breach in &played.breaches {
-            runs::tell_breach(breach, &self.file.display().to_string(), self.seed, &self.policy);
+        for breach in &played.violations {
+            runs::print_violation(breach, &self.file.display().to_string(), self.seed, &self.policy);
         }
-        Ok(played.breaches.is_empty())
+        Ok(played.violations.is_empty())
     }
 }
--- a/crates/dewhead-lab/src/commands/report.rs
+++ b/crates/dewhead-lab/src/commands/report.rs
@@ -1,6 +1,6 @@
 //! `report`: makes an HTML page of the results of runs.
 
-use crate::report::{self, Run};
+use crate::report::{self, ReportedRun};
 use argh::FromArgs;
 use std::path::PathBuf;
 
@@ -18,14 +18,14 @@
     pub fn execute(&self) -> Result<bool, String> {
         let path = self.dir.join("runs.jsonl");
         let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let runs: Vec<Run> = text
+        let runs: Vec<ReportedRun> = text
             .lines()
             .enumerate()
             .map(|(n, line)| {
                 serde_json::from_str(line).map_err(|e| format!("{}, line {}: {e}", path.display(), n + 1))
             })
             .collect::<Result<_, _>>()?;
-        let page = report::page(&runs)?;
+        let page = report::render_page(&runs)?;
         let page_path = self.dir.join("report.html");
         std::fs::write(&page_path, page).map_err(|e| format!("{}: {e}", page_path.display()))?;
         println!("{}", page_path.display());
--- a/crates/dewhead-lab/src/commands/run.rs
+++ b/crates/dewhead-lab/src/commands/run.rs
@@ -1,8 +1,8 @@
 //! `run`: plays an experiment for each seed and each point of its matrix.
 
-use crate::runs::{self, Played, Task};
-use crate::simulated::Who;
-use crate::sockets::{self, FaultInjection, Programs};
+use crate::runs::{self, RunResult, Task};
+use crate::simulated::ProxyKind;
+use crate::sockets::{self, FaultInjection, LaunchOptions};
 use argh::FromArgs;
 use dewhead_faults::plan::Plan;
 use std::path::PathBuf;
@@ -45,28 +45,28 @@
 impl Run {
     /// Runs the command; returns whether no rule was violated.
     pub fn execute(&self) -> Result<bool, String> {
-        let experiment = runs::read(&self.file)?;
+        let experiment = runs::read_experiment(&self.file)?;
         let points = experiment.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
-        let seeds = self.seeds.as_deref().map_or(Ok(experiment.seeds.clone()), runs::seeds)?;
-        let who = runs::who(&self.policy)?;
+        let seeds = self.seeds.as_deref().map_or(Ok(experiment.seeds.clone()), runs::parse_seeds)?;
+        let who = runs::parse_proxy_kind(&self.policy)?;
         let tasks: Vec<Task> = points
             .iter()
             .flat_map(|(point, experiment)| {
                 seeds.iter().map(|seed| Task {
                     point: point.clone(),
-                    of: experiment.clone(),
+                    experiment: experiment.clone(),
                     seed: *seed,
-                    who,
+                    proxy: who,
                 })
             })
             .collect();
         let played = match self.host.as_str() {
-            "virtual" => runs::play_all(&tasks, !self.quiet),
+            "virtual" => runs::run_tasks(&tasks, !self.quiet),
             "sockets" => self.on_sockets(&tasks)?,
             other => return Err(format!("--host: '{other}' is neither virtual nor sockets")),
         };
         if let Some(dir) = &self.out {
-            runs::write(dir, &points, &played)?;
+            runs::write_runs(dir, &points, &played)?;
         }
         if !self.quiet {
             println!("{}: {}", experiment.name, experiment.description);
@@ -74,31 +74,35 @@
         }
         let file = self.file.display().to_string();
         for run in &played {
-            for breach in &run.breaches {
-                runs::tell_breach(breach, &file, run.seed, &run.who);
+            for breach in &run.violations {
+                runs::print_violation(breach, &file, run.seed, &run.proxy_name);
             }
         }
-        Ok(played.iter().all(|p| p.breaches.is_empty()))
+        Ok(played.iter().all(|p| p.violations.is_empty()))
     }
 }
 
 impl Run {
     /// Plays the tasks one after the other, because each needs the whole machine.
-    fn on_sockets(&self, tasks: &[Task]) -> Result<Vec<Played>, String> {
-        if tasks.iter().any(|t| t.who != Who::Dewhead) {
+    fn on_sockets(&self, tasks: &[Task]) -> Result<Vec<RunResult>, String> {
+        if tasks.iter().any(|t| t.proxy != ProxyKind::Dewhead) {
             return Err("--who: on sockets the proxy decides; name a build with --proxy".into());
         }
-        let proxy = self.proxy.clone().map_or_else(sockets::beside, Ok)?;
+        let proxy = self.proxy.clone().map_or_else(sockets::find_proxy_binary, Ok)?;
         if let Some(dir) = &self.logs {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
         }
         let inject = |plan: &Plan| {
-            Ok::<_, String>(FaultInjection { library: sockets::faults_library()?, plan: *plan })
+            Ok::<_, String>(FaultInjection { library: sockets::find_faults_library()?, plan: *plan })
         };
         let faults = self.faults.as_ref().map(inject).transpose()?;
         let play_task = |task: &Task| {
-            let programs = Programs { proxy: proxy.clone(), logs: self.logs.clone(), faults: faults.clone() };
-            let played = sockets::play(&task.of, &task.point, task.seed, programs)?;
+            let programs = LaunchOptions {
+                proxy_binary: proxy.clone(),
+                log_dir: self.logs.clone(),
+                faults: faults.clone(),
+            };
+            let played = sockets::run_experiment(&task.experiment, &task.point, task.seed, programs)?;
             if played.late {
                 eprintln!(
                     "seed {}: the lab was up to {:.3} s late, so that its times are unreliable",
@@ -112,7 +116,7 @@
 }
 
 /// Prints the outcome of a run as one line.
-pub fn print_run(run: &Played) {
+pub fn print_run(run: &RunResult) {
     let (o, c) = (&run.outcome, &run.outcome.counts);
     let point = if run.point.is_empty() { String::new() } else { format!("  [{}]", run.point) };
     println!(
@@ -130,7 +134,7 @@
         c.moved,
         c.broken,
         c.nodes_crashed,
-        run.breaches.len(),
-        run.outcome.demand.len() as f64 / run.took.max(1e-9),
+        run.violations.len(),
+        run.outcome.demand.len() as f64 / run.wall_seconds.max(1e-9),
     );
 }
--- a/crates/dewhead-lab/src/commands/soak.rs
+++ b/crates/dewhead-lab/src/commands/soak.rs
@@ -1,7 +1,7 @@
 //! `soak`: runs real proxies under overlapping troubles and failing system calls, for many seeds.
 
 use crate::runs;
-use crate::soak::{Day, Size, Verdict};
+use crate::soak::{Scenario, ScenarioSize, SoakResult};
 use crate::sockets;
 use argh::FromArgs;
 use std::path::PathBuf;
@@ -37,24 +37,28 @@
 impl Soak {
     /// Runs the command; returns whether all seeds passed.
     pub fn execute(&self) -> Result<bool, String> {
-        let size = Size { proxies: self.proxies, nodes: self.nodes, seconds: self.seconds };
-        let days: Vec<Day> =
-            runs::seeds(&self.seeds)?.into_iter().map(|seed| Day::drawn(size, seed)).collect();
+        let size = ScenarioSize { proxies: self.proxies, nodes: self.nodes, seconds: self.seconds };
+        let days: Vec<Scenario> =
+            runs::parse_seeds(&self.seeds)?.into_iter().map(|seed| Scenario::generate(size, seed)).collect();
         if self.draw {
             for day in &days {
-                println!("# --faults {}\n{}", day.plan, toml::to_string(&day.of).map_err(|e| e.to_string())?);
+                println!(
+                    "# --faults {}\n{}",
+                    day.fault_plan,
+                    toml::to_string(&day.experiment).map_err(|e| e.to_string())?
+                );
             }
             return Ok(true);
         }
-        let proxy = self.proxy.clone().map_or_else(sockets::beside, Ok)?;
-        let library = sockets::faults_library()?;
+        let proxy = self.proxy.clone().map_or_else(sockets::find_proxy_binary, Ok)?;
+        let library = sockets::find_faults_library()?;
         let temporary_logs = std::env::temp_dir().join(format!("dewhead-soak-{}", std::process::id()));
         let logs = self.logs.as_ref().unwrap_or(&temporary_logs);
         let mut all_sound = true;
         for day in &days {
-            let verdict = day.play(&proxy, &library, &logs.join(day.seed.to_string()))?;
+            let verdict = day.run(&proxy, &library, &logs.join(day.seed.to_string()))?;
             print_verdict(&verdict);
-            all_sound &= verdict.is_sound();
+            all_sound &= verdict.passed();
         }
         if self.logs.is_none() {
             // An error is ignored: the folder is in the system's folder for temporary files.
@@ -65,7 +69,7 @@
 }
 
 /// Prints the outcome of one seed.
-fn print_verdict(verdict: &Verdict) {
+fn print_verdict(verdict: &SoakResult) {
     let late = if verdict.is_late() { "  LATE, times unreliable" } else { "" };
     println!(
         "seed {:>3}{late}  service {:.3}  completed {}  unanswered {}  breaches {}  violations and panics {}  lab late {:.3} s  \
@@ -74,13 +78,13 @@
         verdict.service,
         verdict.completed,
         verdict.unanswered,
-        verdict.breaches.len(),
-        verdict.faults.len(),
+        verdict.violations.len(),
+        verdict.process_failures.len(),
         verdict.lateness,
         verdict.troubles.join("; "),
-        verdict.plan,
+        verdict.fault_plan,
     );
-    for breach in &verdict.breaches {
+    for breach in &verdict.violations {
         let call = breach.call.as_deref().unwrap_or("none");
         println!(
             "  breach of {:?} at {:.3} s, proxy {}, call {call}: {}",
@@ -90,5 +94,5 @@
             println!("    {time:>10.4}  {annotation}");
         }
     }
-    verdict.faults.iter().for_each(|line| println!("  {line}"));
+    verdict.process_failures.iter().for_each(|line| println!("  {line}"));
 }
--- a/crates/dewhead-lab/src/commands/table.rs
+++ b/crates/dewhead-lab/src/commands/table.rs
@@ -21,29 +21,29 @@
 impl Table {
     /// Runs the command; returns whether dewhead violated no rule.
     pub fn execute(&self) -> Result<bool, String> {
-        let seeds = runs::seeds(&self.seeds)?;
+        let seeds = runs::parse_seeds(&self.seeds)?;
         let names: Vec<&str> =
-            std::iter::once("dewhead").chain(policy::ALL.iter().map(|(n, _)| *n)).collect();
+            std::iter::once("dewhead").chain(policy::NAMED_POLICIES.iter().map(|(n, _)| *n)).collect();
         println!("| experiment | {} | place | worst 10 s | breaches |", names.join(" | "));
         println!("| --- |{}", " --- |".repeat(names.len() + 3));
         let mut no_violations = true;
         for file in &self.files {
-            let experiment = runs::read(file)?;
+            let experiment = runs::read_experiment(file)?;
             for (point, experiment) in
                 experiment.matrix_points().map_err(|e| format!("{}: {e}", file.display()))?
             {
                 let mut tasks = Vec::new();
                 for name in &names {
-                    let who = runs::who(name)?;
+                    let who = runs::parse_proxy_kind(name)?;
                     tasks.extend(seeds.iter().map(|s| Task {
                         point: point.clone(),
-                        of: experiment.clone(),
+                        experiment: experiment.clone(),
                         seed: *s,
-                        who,
+                        proxy: who,
                     }));
                 }
-                let played = runs::play_all(&tasks, true);
-                let runs_of = |name: &str| played.iter().filter(|p| p.who == name).collect::<Vec<_>>();
+                let played = runs::run_tasks(&tasks, true);
+                let runs_of = |name: &str| played.iter().filter(|p| p.proxy_name == name).collect::<Vec<_>>();
                 let service =
                     |name: &str| -> Vec<f64> { runs_of(name).iter().map(|p| p.outcome.service).collect() };
                 let cells: Vec<String> =
@@ -57,10 +57,10 @@
                     runs_of("dewhead").iter().map(|p| p.outcome.worst_ten_seconds).collect();
                 let violation_counts: Vec<String> = names
                     .iter()
-                    .map(|n| runs_of(n).iter().map(|p| p.breaches.len()).sum::<usize>())
+                    .map(|n| runs_of(n).iter().map(|p| p.violations.len()).sum::<usize>())
                     .map(|n| n.to_string())
                     .collect();
-                no_violations &= runs_of("dewhead").iter().all(|p| p.breaches.is_empty());
+                no_violations &= runs_of("dewhead").iter().all(|p| p.violations.is_empty());
                 let label = if point.is_empty() {
                     experiment.name.clone()
                 } else {
--- a/crates/dewhead-lab/src/scale/fit.rs
+++ b/crates/dewhead-lab/src/scale/fit.rs
@@ -156,7 +156,7 @@
         let runs: Vec<&RunResult> = runs.filter(|r| r.trouble.is_none() && (self.applies_to)(r)).collect();
         let response: Vec<f64> = runs.iter().map(|r| (self.response)(r)).collect();
         if self.regressors.is_empty() {
-            let (mean, half_width) = crate::stats::interval(&response);
+            let (mean, half_width) = crate::stats::confidence_interval(&response);
             return (!response.is_empty()).then(|| LinearFit {
                 intercept: (mean, half_width / 2.0),
                 slopes: Vec::new(),
@@ -223,13 +223,30 @@
         "proxies {} servers {} changes {}/s picks {}/s standing {}{trouble}: {:.0} B/s a proxy, change {:.0} us, call {:.0} us, \
          list {:.0} kB {:.1} ms, memory {:.2} MB + {:.0} B a connection, discovery {:.0} lines/s {:.2}% of a core, in force \
          {:.0}/{:.0} ms, back {:.2} s, dropped {}, calls {} (whole {}); real {:.0} B/s {:.2}% {:.1} MB; lateness {:.0} ms{}",
-        result.proxies, result.servers, result.changes_per_second, result.calls_per_second,
-        result.open_connections, result.control_bytes, result.change_cpu * 1e6, result.call_cpu * 1e6,
-        result.first_list_bytes / 1e3, result.first_list_cpu * 1e3, result.memory_with_list / 1e6,
-        result.memory_per_connection, result.discovery_lines, result.discovery_cpu * 100.0,
-        result.propagation_median * 1e3, result.propagation_max * 1e3, result.restart_recovery,
-        result.dropped_watchers, result.watch_requests, result.full_lists, result.real_bytes,
-        result.real_cpu * 100.0, result.real_memory / 1e6, result.lateness * 1e3,
+        result.proxies,
+        result.servers,
+        result.changes_per_second,
+        result.calls_per_second,
+        result.open_connections,
+        result.control_bytes,
+        result.change_cpu * 1e6,
+        result.call_cpu * 1e6,
+        result.first_list_bytes / 1e3,
+        result.first_list_cpu * 1e3,
+        result.memory_with_list / 1e6,
+        result.memory_per_connection,
+        result.discovery_lines,
+        result.discovery_cpu * 100.0,
+        result.propagation_median * 1e3,
+        result.propagation_max * 1e3,
+        result.restart_recovery,
+        result.dropped_watchers,
+        result.watch_requests,
+        result.full_lists,
+        result.real_bytes,
+        result.real_cpu * 100.0,
+        result.real_memory / 1e6,
+        result.lateness * 1e3,
         if result.late { ", LATE" } else { "" }
     )
 }
