--- a/crates/dewhead-world/src/discovery.rs
+++ b/crates/dewhead-world/src/discovery.rs
@@ -291,7 +291,7 @@
 
     /// Restarts discovery: its watches are closed and its versions start from one.
     pub(crate) fn restart_discovery(&mut self, now: f64) {
-        self.service.annotate(now, "discovery restarts".into());
+        self.service.annotate(now, "discovery starts anew".into());
         for n in 0..self.discovery.agents.len() {
             let agent = &mut self.discovery.agents[n];
             agent.version_offset = agent.version - 1;
@@ -310,7 +310,7 @@
         for watch in &agent.watches {
             self.queue.push(now + 1.5, Event::CloseWatch(proxy, watch.link));
         }
-        self.service.annotate(now, format!("proxy {proxy} is reconfigured"));
+        self.service.annotate(now, format!("proxy {proxy} is configured anew"));
         if self.proxies[proxy].listening {
             self.emit(Effect::Reconfigure(proxy, address));
         }
--- a/crates/dewhead-world/src/node_connections.rs
+++ b/crates/dewhead-world/src/node_connections.rs
@@ -262,7 +262,7 @@
     /// Drains a node: no new calls, and all established clients are sent away.
     pub(crate) fn drain(&mut self, now: f64, node: usize) {
         self.nodes[node].state = NodeState::Draining;
-        self.service.annotate(now, format!("node {node} starts to drain"));
+        self.service.annotate(now, format!("node {node} drains"));
         self.schedule_update(now, node, self.experiment.discovery.update_notice);
         let spread = self.experiment.node.drain_spread;
         for key in self.connections_at(node) {
@@ -283,7 +283,7 @@
 
     /// Ends a node's process: its connections are reset and new ones refused.
     pub(crate) fn kill_node(&mut self, now: f64, node: usize) {
-        self.service.annotate(now, format!("the process of node {node} ends"));
+        self.service.annotate(now, format!("node {node} dies"));
         for key in self.connections_at(node) {
             self.drop_connection(now, key, EndKind::Broken);
         }
@@ -294,7 +294,7 @@
 
     /// Makes a node's machine vanish: nothing is sent any more, and no connection is closed.
     pub(crate) fn silence_node(&mut self, now: f64, node: usize) {
-        self.service.annotate(now, format!("node {node} becomes silent"));
+        self.service.annotate(now, format!("node {node} goes silent"));
         for key in self.connections_at(node) {
             self.stop_counting(key);
         }
@@ -320,7 +320,7 @@
         let arrivals: Vec<(f64, usize, f64)> = self.nodes[node].cold_arrivals.iter().copied().collect();
         self.audit.on_node_crash(now, node, self.nodes[node].started_at, &arrivals);
         self.kill_node(now, node);
-        self.service.annotate(now, format!("node {node} has crashed from overload"));
+        self.service.annotate(now, format!("node {node} has fallen over"));
     }
 
     /// Resets the newest connections of a node with too much queued work, until its capacity suffices.
@@ -366,7 +366,7 @@
             _ if !proxy_state.listening => return,
             _ => {}
         }
-        self.service.annotate(now, format!("proxy {proxy} receives {signal:?}"));
+        self.service.annotate(now, format!("proxy {proxy} gets {signal:?}"));
         self.emit(Effect::Signal(proxy, signal));
     }
 }
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -655,7 +655,7 @@
     pub fn on_listener_closed(&mut self, now: f64, proxy: usize) {
         self.update_digest(now, 10, proxy, &[]);
         self.proxies[proxy].listening = false;
-        self.service.annotate(now, format!("proxy {proxy} stops listening"));
+        self.service.annotate(now, format!("proxy {proxy} listens no more"));
         self.front_notices_exit(now, proxy);
     }
 
@@ -664,7 +664,7 @@
         self.update_digest(now, 9, proxy, &[]);
         let was_listening = std::mem::replace(&mut self.proxies[proxy].listening, false);
         self.audit.on_proxy_exit(now, proxy);
-        self.service.annotate(now, format!("proxy {proxy} has exited"));
+        self.service.annotate(now, format!("proxy {proxy} is gone"));
         let open_links: Vec<LinkKey> = self
             .links
             .iter()
