--- a/crates/dewhead-lab/src/commands/compare.rs
+++ b/crates/dewhead-lab/src/commands/compare.rs
@@ -45,7 +45,7 @@
                 .filter_map(|x| b.iter().find(|y| (&y.0, y.1) == (&x.0, x.1)).map(|y| (x, y)))
                 .collect();
             if pairs.len() < a.len().max(b.len()) {
-                return Err(format!("{}: the two sides did not play the same runs", file.display()));
+                return Err(format!("{}: the two sides did not carry out the same runs", file.display()));
             }
             no_violations &= pairs.iter().all(|(x, y)| x.4 + y.4 == 0);
             let mut points: Vec<&str> = pairs.iter().map(|(x, _)| x.0.as_str()).collect();
@@ -83,7 +83,7 @@
         if let Some(other_build) = side.strip_prefix("lab:") {
             return run_other_build(Path::new(other_build), file, &self.seeds);
         }
-        let (experiment, who) = (runs::read_experiment(file)?, runs::parse_proxy_kind(side)?);
+        let (experiment, proxy_kind) = (runs::read_experiment(file)?, runs::parse_proxy_kind(side)?);
         let points = experiment.matrix_points().map_err(|e| format!("{}: {e}", file.display()))?;
         let seeds = runs::parse_seeds(&self.seeds)?;
         let tasks: Vec<Task> = points
@@ -93,14 +93,14 @@
                     point: point.clone(),
                     experiment: experiment.clone(),
                     seed: *seed,
-                    proxy: who,
+                    proxy: proxy_kind,
                 })
             })
             .collect();
-        let played = runs::run_tasks(&tasks, true);
-        Ok(played
+        let results = runs::run_tasks(&tasks, true);
+        Ok(results
             .into_iter()
-            .map(|p| (p.point, p.seed, p.outcome.service, p.outcome.worst_ten_seconds, p.violations.len()))
+            .map(|r| (r.point, r.seed, r.outcome.service, r.outcome.worst_ten_seconds, r.violations.len()))
             .collect())
     }
 }
@@ -124,14 +124,14 @@
     let _ = std::fs::remove_dir_all(&output_dir);
     text.lines()
         .map(|line| {
-            let read: ComparedRun =
+            let run: ComparedRun =
                 serde_json::from_str(line).map_err(|e| format!("{}: {e}", path.display()))?;
             Ok((
-                read.point,
-                read.seed,
-                read.outcome.service,
-                read.outcome.worst_ten_seconds,
-                read.violations.len(),
+                run.point,
+                run.seed,
+                run.outcome.service,
+                run.outcome.worst_ten_seconds,
+                run.violations.len(),
             ))
         })
         .collect()
--- a/crates/dewhead-lab/src/commands/demo.rs
+++ b/crates/dewhead-lab/src/commands/demo.rs
@@ -79,13 +79,13 @@
 
     /// Prints new annotations and updates the bars and the status line.
     fn show(&mut self, world: &mut World, now: f64) {
-        for (at, what) in
+        for (at, annotation) in
             &world.service.annotations[self.shown_annotations.min(world.service.annotations.len())..]
         {
             if self.plain_text {
-                eprintln!("{at:>7.1} s  {what}");
+                eprintln!("{at:>7.1} s  {annotation}");
             } else {
-                self.status_line.println(format!("{at:>7.1} s  {what}"));
+                self.status_line.println(format!("{at:>7.1} s  {annotation}"));
             }
         }
         self.shown_annotations = world.service.annotations.len();
@@ -124,14 +124,14 @@
         let proxy = self.proxy.clone().map_or_else(sockets::find_proxy_binary, Ok)?;
         let start = Instant::now();
         let proxy_name = proxy.display().to_string();
-        let programs = LaunchOptions { proxy_binary: proxy, log_dir: self.logs.clone(), faults: None };
-        let mut host = SocketHost::new(&demo_experiment(self.seconds)?, 1, programs)?;
+        let options = LaunchOptions { proxy_binary: proxy, log_dir: self.logs.clone(), faults: None };
+        let mut host = SocketHost::new(&demo_experiment(self.seconds)?, 1, options)?;
         let mut view = ProgressView::new(&host.world);
         host.run(self.seconds, |world, now| view.show(world, now))?;
         view.bars.iter().chain([&view.status_line]).for_each(ProgressBar::finish);
         let lateness = host.lateness;
-        let played = sockets::collect_result(&mut host.world, "", 1, proxy_name, lateness, start);
-        let (outcome, counts) = (&played.outcome, &played.outcome.counts);
+        let result = sockets::collect_result(&mut host.world, "", 1, proxy_name, lateness, start);
+        let (outcome, counts) = (&result.outcome, &result.outcome.counts);
         println!(
             "{:.0} seconds, {} clients, {} calls: {} completed, {} rejected, {} failed",
             self.seconds,
@@ -155,11 +155,11 @@
             "moved {}, broken {}, rules broken: {}",
             counts.moved,
             counts.broken,
-            played.violations.len()
+            result.violations.len()
         );
-        for breach in &played.violations {
-            runs::print_violation(breach, "(the demo)", 1, "dewhead");
+        for violation in &result.violations {
+            runs::print_violation(violation, "(the demo)", 1, "dewhead");
         }
-        Ok(played.violations.is_empty())
+        Ok(result.violations.is_empty())
     }
 }
--- a/crates/dewhead-lab/src/commands/hunt.rs
+++ b/crates/dewhead-lab/src/commands/hunt.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Search for the combinations of troubles under which dewhead loses most against the policy top, and reduce them to
+/// Search for the combinations of troubles under which dewhead loses most against the policy top, and shrink them to
 /// the troubles that matter.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hunt")]
@@ -25,7 +25,7 @@
     /// seed of the search; 1 if not given
     #[argh(option, default = "1")]
     seed: u64,
-    /// number of the worst combinations to reduce and write; 3 if not given
+    /// number of the worst combinations to shrink and write; 3 if not given
     #[argh(option, default = "3")]
     keep: usize,
     /// folder in which to write them as worst-1.toml and so on; nowhere if not given
@@ -42,22 +42,23 @@
         };
         let end = Instant::now() + Duration::from_secs_f64((self.minutes * 60.0).clamp(0.0, 1e6));
         let progress = ProgressBar::new_spinner();
-        let best = hunt::search(&base, self.seed, |round, played, best| {
-            let worst = best.first().map_or(0.0, |f| f.loss);
-            progress.set_message(format!("{played} combinations played, the worst loses {worst:.3}"));
+        let findings = hunt::search(&base, self.seed, |round, evaluated, worst_so_far| {
+            let highest_loss = worst_so_far.first().map_or(0.0, |f| f.loss);
+            progress
+                .set_message(format!("{evaluated} combinations played, the worst loses {highest_loss:.3}"));
             progress.tick();
             self.rounds.map_or(Instant::now() < end, |limit| round < limit)
         });
         progress.finish_and_clear();
         let mut no_violations = true;
-        for (i, find) in best.iter().enumerate() {
-            println!("{}", summary(i + 1, find));
-            no_violations &= find.violations == 0;
+        for (i, finding) in findings.iter().enumerate() {
+            println!("{}", summary(i + 1, finding));
+            no_violations &= finding.violations == 0;
         }
         if let Some(dir) = &self.out {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-            for (i, find) in best.iter().take(self.keep).enumerate() {
-                let mut shrunk = hunt::shrink(find);
+            for (i, finding) in findings.iter().take(self.keep).enumerate() {
+                let mut shrunk = hunt::shrink(finding);
                 let kinds = hunt::trouble_kinds(&shrunk.experiment).join(", ");
                 shrunk.experiment.name = format!("worst-{}", i + 1);
                 shrunk.experiment.description = format!(
@@ -75,9 +76,9 @@
     }
 }
 
-/// A found combination as one line of text.
-fn summary(rank: usize, find: &Finding) -> String {
-    let troubles: Vec<String> = find
+/// A finding as one line of text.
+fn summary(rank: usize, finding: &Finding) -> String {
+    let troubles: Vec<String> = finding
         .experiment
         .troubles
         .iter()
@@ -87,11 +88,11 @@
         .collect();
     format!(
         "{rank}. loses {:.3}: top {:.3}, dewhead {:.3}, breaches {}, load {}; {}",
-        find.loss,
-        find.oracle_service,
-        find.dewhead_service,
-        find.violations,
-        find.experiment.load.utilisation,
+        finding.loss,
+        finding.oracle_service,
+        finding.dewhead_service,
+        finding.violations,
+        finding.experiment.load.utilisation,
         troubles.join("; ")
     )
 }
--- a/crates/dewhead-lab/src/commands/run.rs
+++ b/crates/dewhead-lab/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: plays an experiment for each seed and each point of its matrix.
+//! `run`: runs an experiment for each seed and each point of its matrix.
 
 use crate::runs::{self, RunResult, Task};
 use crate::simulated::ProxyKind;
@@ -7,7 +7,7 @@
 use dewhead_faults::plan::Plan;
 use std::path::PathBuf;
 
-/// Play an experiment. Exit code 2 if a rule was violated.
+/// Run an experiment for each seed and each point of its matrix. Exit code 2 if a rule was violated.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 pub struct Run {
@@ -20,7 +20,7 @@
     /// policy that places connections: dewhead (if not given), random, round-robin, least-own, two-choices or top
     #[argh(option, long = "who", default = "String::from(\"dewhead\")")]
     policy: String,
-    /// where to play: virtual (simulated time, if not given) or sockets
+    /// host of the run: virtual (simulated time, if not given) or sockets
     #[argh(option, default = "String::from(\"virtual\")")]
     host: String,
     /// on sockets: the proxy's binary; the one next to this program if not given
@@ -30,7 +30,7 @@
     #[argh(option)]
     logs: Option<PathBuf>,
     /// on sockets: system calls that fail in the proxies' processes, as
-    /// short=0.3,interrupt=0.05,accept=0.05,socket=0.02, connect=0.05,open=0.2,step_from=15,step_by=3600,seed=1;
+    /// short=0.3,interrupt=0.05,accept=0.05,socket=0.02,connect=0.05,open=0.2,step_from=15,step_by=3600,seed=1;
     /// probabilities, and seconds from the start
     #[argh(option)]
     faults: Option<Plan>,
@@ -48,7 +48,7 @@
         let experiment = runs::read_experiment(&self.file)?;
         let points = experiment.matrix_points().map_err(|e| format!("{}: {e}", self.file.display()))?;
         let seeds = self.seeds.as_deref().map_or(Ok(experiment.seeds.clone()), runs::parse_seeds)?;
-        let who = runs::parse_proxy_kind(&self.policy)?;
+        let proxy_kind = runs::parse_proxy_kind(&self.policy)?;
         let tasks: Vec<Task> = points
             .iter()
             .flat_map(|(point, experiment)| {
@@ -56,35 +56,35 @@
                     point: point.clone(),
                     experiment: experiment.clone(),
                     seed: *seed,
-                    proxy: who,
+                    proxy: proxy_kind,
                 })
             })
             .collect();
-        let played = match self.host.as_str() {
+        let results = match self.host.as_str() {
             "virtual" => runs::run_tasks(&tasks, !self.quiet),
-            "sockets" => self.on_sockets(&tasks)?,
+            "sockets" => self.run_on_sockets(&tasks)?,
             other => return Err(format!("--host: '{other}' is neither virtual nor sockets")),
         };
         if let Some(dir) = &self.out {
-            runs::write_runs(dir, &points, &played)?;
+            runs::write_runs(dir, &points, &results)?;
         }
         if !self.quiet {
             println!("{}: {}", experiment.name, experiment.description);
-            played.iter().for_each(print_run);
+            results.iter().for_each(print_run);
         }
         let file = self.file.display().to_string();
-        for run in &played {
-            for breach in &run.violations {
-                runs::print_violation(breach, &file, run.seed, &run.proxy_name);
+        for run in &results {
+            for violation in &run.violations {
+                runs::print_violation(violation, &file, run.seed, &run.proxy_name);
             }
         }
-        Ok(played.iter().all(|p| p.violations.is_empty()))
+        Ok(results.iter().all(|p| p.violations.is_empty()))
     }
 }
 
 impl Run {
-    /// Plays the tasks one after the other, because each needs the whole machine.
-    fn on_sockets(&self, tasks: &[Task]) -> Result<Vec<RunResult>, String> {
+    /// Runs the tasks one after the other, because each needs the whole machine.
+    fn run_on_sockets(&self, tasks: &[Task]) -> Result<Vec<RunResult>, String> {
         if tasks.iter().any(|t| t.proxy != ProxyKind::Dewhead) {
             return Err("--who: on sockets the proxy decides; name a build with --proxy".into());
         }
@@ -92,48 +92,48 @@
         if let Some(dir) = &self.logs {
             std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
         }
-        let inject = |plan: &Plan| {
+        let fault_injection = |plan: &Plan| {
             Ok::<_, String>(FaultInjection { library: sockets::find_faults_library()?, plan: *plan })
         };
-        let faults = self.faults.as_ref().map(inject).transpose()?;
-        let play_task = |task: &Task| {
-            let programs = LaunchOptions {
+        let faults = self.faults.as_ref().map(fault_injection).transpose()?;
+        let execute_task = |task: &Task| {
+            let options = LaunchOptions {
                 proxy_binary: proxy.clone(),
                 log_dir: self.logs.clone(),
                 faults: faults.clone(),
             };
-            let played = sockets::run_experiment(&task.experiment, &task.point, task.seed, programs)?;
-            if played.late {
+            let result = sockets::run_experiment(&task.experiment, &task.point, task.seed, options)?;
+            if result.late {
                 eprintln!(
                     "seed {}: the lab was up to {:.3} s late, so that its times are unreliable",
-                    task.seed, played.lateness
+                    task.seed, result.lateness
                 );
             }
-            Ok(played)
+            Ok(result)
         };
-        tasks.iter().map(play_task).collect()
+        tasks.iter().map(execute_task).collect()
     }
 }
 
 /// Prints the outcome of a run as one line.
 pub fn print_run(run: &RunResult) {
-    let (o, c) = (&run.outcome, &run.outcome.counts);
+    let (outcome, counts) = (&run.outcome, &run.outcome.counts);
     let point = if run.point.is_empty() { String::new() } else { format!("  [{}]", run.point) };
     println!(
         "seed {:>3}  service {:.4}  worst 10 s {:.3}  worst type {:.3}  set-up p50 {:>4.0} ms p99 {:>5.0} ms  \
          completed {}  rejected {}  failed {}  moved {}  broken {}  fallen {}  breaches {}  {:.0} s/s{point}",
         run.seed,
-        o.service,
-        o.worst_ten_seconds,
-        o.worst_type,
-        o.setup_times[0] * 1e3,
-        o.setup_times[1] * 1e3,
-        c.completed,
-        c.rejected,
-        c.failed + c.unanswered,
-        c.moved,
-        c.broken,
-        c.nodes_crashed,
+        outcome.service,
+        outcome.worst_ten_seconds,
+        outcome.worst_type,
+        outcome.setup_times[0] * 1e3,
+        outcome.setup_times[1] * 1e3,
+        counts.completed,
+        counts.rejected,
+        counts.failed + counts.unanswered,
+        counts.moved,
+        counts.broken,
+        counts.nodes_crashed,
         run.violations.len(),
         run.outcome.demand.len() as f64 / run.wall_seconds.max(1e-9),
     );
--- a/crates/dewhead-lab/src/commands/soak.rs
+++ b/crates/dewhead-lab/src/commands/soak.rs
@@ -29,7 +29,7 @@
     /// a folder for the proxies' logs, with a subfolder for each seed; a temporary one if not given
     #[argh(option)]
     logs: Option<PathBuf>,
-    /// print the drawn experiments without playing them
+    /// print the drawn experiments without running them
     #[argh(switch)]
     draw: bool,
 }
@@ -38,14 +38,14 @@
     /// Runs the command; returns whether all seeds passed.
     pub fn execute(&self) -> Result<bool, String> {
         let size = ScenarioSize { proxies: self.proxies, nodes: self.nodes, seconds: self.seconds };
-        let days: Vec<Scenario> =
+        let scenarios: Vec<Scenario> =
             runs::parse_seeds(&self.seeds)?.into_iter().map(|seed| Scenario::generate(size, seed)).collect();
         if self.draw {
-            for day in &days {
+            for scenario in &scenarios {
                 println!(
                     "# --faults {}\n{}",
-                    day.fault_plan,
-                    toml::to_string(&day.experiment).map_err(|e| e.to_string())?
+                    scenario.fault_plan,
+                    toml::to_string(&scenario.experiment).map_err(|e| e.to_string())?
                 );
             }
             return Ok(true);
@@ -54,45 +54,45 @@
         let library = sockets::find_faults_library()?;
         let temporary_logs = std::env::temp_dir().join(format!("dewhead-soak-{}", std::process::id()));
         let logs = self.logs.as_ref().unwrap_or(&temporary_logs);
-        let mut all_sound = true;
-        for day in &days {
-            let verdict = day.run(&proxy, &library, &logs.join(day.seed.to_string()))?;
-            print_verdict(&verdict);
-            all_sound &= verdict.passed();
+        let mut all_passed = true;
+        for scenario in &scenarios {
+            let result = scenario.run(&proxy, &library, &logs.join(scenario.seed.to_string()))?;
+            print_result(&result);
+            all_passed &= result.passed();
         }
         if self.logs.is_none() {
             // An error is ignored: the folder is in the system's folder for temporary files.
             let _ = std::fs::remove_dir_all(&temporary_logs);
         }
-        Ok(all_sound)
+        Ok(all_passed)
     }
 }
 
 /// Prints the outcome of one seed.
-fn print_verdict(verdict: &SoakResult) {
-    let late = if verdict.is_late() { "  LATE, times unreliable" } else { "" };
+fn print_result(result: &SoakResult) {
+    let late = if result.is_late() { "  LATE, times unreliable" } else { "" };
     println!(
         "seed {:>3}{late}  service {:.3}  completed {}  unanswered {}  breaches {}  violations and panics {}  lab late {:.3} s  \
          {}  --faults {}",
-        verdict.seed,
-        verdict.service,
-        verdict.completed,
-        verdict.unanswered,
-        verdict.violations.len(),
-        verdict.process_failures.len(),
-        verdict.lateness,
-        verdict.troubles.join("; "),
-        verdict.fault_plan,
+        result.seed,
+        result.service,
+        result.completed,
+        result.unanswered,
+        result.violations.len(),
+        result.process_failures.len(),
+        result.lateness,
+        result.troubles.join("; "),
+        result.fault_plan,
     );
-    for breach in &verdict.violations {
-        let call = breach.call.as_deref().unwrap_or("none");
+    for violation in &result.violations {
+        let call = violation.call.as_deref().unwrap_or("none");
         println!(
             "  breach of {:?} at {:.3} s, proxy {}, call {call}: {}",
-            breach.rule, breach.at, breach.proxy, breach.description
+            violation.rule, violation.at, violation.proxy, violation.description
         );
-        for (time, annotation) in &breach.trace {
+        for (time, annotation) in &violation.trace {
             println!("    {time:>10.4}  {annotation}");
         }
     }
-    verdict.process_failures.iter().for_each(|line| println!("  {line}"));
+    result.process_failures.iter().for_each(|line| println!("  {line}"));
 }
--- a/crates/dewhead-lab/src/commands/table.rs
+++ b/crates/dewhead-lab/src/commands/table.rs
@@ -34,16 +34,17 @@
             {
                 let mut tasks = Vec::new();
                 for name in &names {
-                    let who = runs::parse_proxy_kind(name)?;
+                    let proxy_kind = runs::parse_proxy_kind(name)?;
                     tasks.extend(seeds.iter().map(|s| Task {
                         point: point.clone(),
                         experiment: experiment.clone(),
                         seed: *s,
-                        proxy: who,
+                        proxy: proxy_kind,
                     }));
                 }
-                let played = runs::run_tasks(&tasks, true);
-                let runs_of = |name: &str| played.iter().filter(|p| p.proxy_name == name).collect::<Vec<_>>();
+                let results = runs::run_tasks(&tasks, true);
+                let runs_of =
+                    |name: &str| results.iter().filter(|r| r.proxy_name == name).collect::<Vec<_>>();
                 let service =
                     |name: &str| -> Vec<f64> { runs_of(name).iter().map(|p| p.outcome.service).collect() };
                 let cells: Vec<String> =
