--- a/crates/dewhead-lab/src/simulated.rs
+++ b/crates/dewhead-lab/src/simulated.rs
@@ -89,7 +89,7 @@
     accept_queue: VecDeque<LinkKey>,
     /// An accepted client that has no session yet.
     unassigned: Option<LinkKey>,
-    /// When the process is to be woken, by its own clock.
+    /// When the process's next timer is due, by its own clock.
     wake_at: Option<f64>,
 }
 
@@ -104,7 +104,8 @@
     current: Vec<Option<usize>>,
     /// For each link, the number of its process and what it is to that process.
     links: SecondaryMap<LinkKey, (usize, LinkEnd)>,
-    /// When processes are to be woken, earliest first; entries that differ from the process's `wake_at` are skipped.
+    /// When the processes' next timers are due, earliest first, with their numbers; entries that differ from the
+    /// process's `wake_at` are skipped.
     wake_queue: BinaryHeap<Reverse<(u64, usize)>>,
     snapshots: SharedSnapshots,
     /// A reused buffer for the world's effects.
@@ -203,7 +204,7 @@
         self.processes.iter().flatten().map(|p| p.clients.iter().flatten().count()).sum()
     }
 
-    /// When the next process is to be woken, by its own clock, and its number.
+    /// When the earliest timer of all processes is due, by their clock, and the number of its process.
     fn next_process(&mut self) -> Option<(f64, usize)> {
         while let Some(Reverse((bits, p))) = self.wake_queue.peek().copied() {
             let due = f64::from_bits(bits);
@@ -238,32 +239,32 @@
     fn apply_world_effect(&mut self, effect: world::Effect) {
         let clock = self.clock();
         match effect {
-            world::Effect::Start(p, stored_list) => self.start(p, &stored_list),
-            world::Effect::Signal(p, Signal::Stop | Signal::StopGroup) => {
+            world::Effect::Start(proxy_index, stored_list) => self.start(proxy_index, &stored_list),
+            world::Effect::Signal(proxy_index, Signal::Stop | Signal::StopGroup) => {
                 // The serving process passes the signal on to the retiring ones.
-                for process in self.processes_of(p) {
+                for process in self.processes_of(proxy_index) {
                     self.deliver(process, clock, Event::Stop, &[]);
                 }
             }
             // The configuration never changes in simulated time.
             world::Effect::Signal(_, Signal::Reload) => {}
-            world::Effect::Signal(p, Signal::Kill) => {
-                self.current[p] = None;
-                for process in self.processes_of(p) {
+            world::Effect::Signal(proxy_index, Signal::Kill) => {
+                self.current[proxy_index] = None;
+                for process in self.processes_of(proxy_index) {
                     self.processes[process] = None;
                 }
                 self.links.retain(|_, (process, _)| self.processes[*process].is_some());
-                self.world.on_exit(self.now, p);
+                self.world.on_exit(self.now, proxy_index);
             }
-            world::Effect::Reconfigure(p, address) => {
+            world::Effect::Reconfigure(proxy_index, address) => {
                 let event = Event::Reconfigured(agent_address(address), self.world.experiment.proxy.sockets);
-                if let Some(p) = self.current[p] {
+                if let Some(p) = self.current[proxy_index] {
                     self.deliver(p, clock, event, &[]);
                 }
             }
-            world::Effect::Handover(p, leave_in) => self.hand_over(p, leave_in),
-            world::Effect::Connect(key, p) => {
-                let Some(p) = self.current[p] else { return };
+            world::Effect::Handover(proxy_index, leave_in) => self.hand_over(proxy_index, leave_in),
+            world::Effect::Connect(key, proxy_index) => {
+                let Some(p) = self.current[proxy_index] else { return };
                 if let Some(process) = &mut self.processes[p] {
                     process.accept_queue.push_back(key);
                     self.accept(p);
@@ -324,7 +325,7 @@
         self.links.remove(key)
     }
 
-    /// Tells a process that its watch is closed.
+    /// Notifies a process that its watch is closed.
     fn lose_watch(&mut self, p: usize) {
         if let Some(process) = &mut self.processes[p] {
             process.watch = None;
@@ -334,17 +335,17 @@
     }
 
     /// Starts the process of a proxy that has none.
-    fn start(&mut self, p: usize, stored_list: &Value) {
-        if self.current[p].is_none() {
-            self.start_process(p, stored_list, None);
-            self.world.on_listening(self.now, p);
+    fn start(&mut self, proxy_index: usize, stored_list: &Value) {
+        if self.current[proxy_index].is_none() {
+            self.start_process(proxy_index, stored_list, None);
+            self.world.on_listening(self.now, proxy_index);
         }
     }
 
     /// Starts a new process of a proxy with the state of the current one, which then retires.
-    fn hand_over(&mut self, p: usize, leave_in: f64) {
+    fn hand_over(&mut self, proxy_index: usize, leave_in: f64) {
         let clock = self.clock();
-        let Some(old) = self.current[p] else { return };
+        let Some(old) = self.current[proxy_index] else { return };
         let Some(exported) =
             self.processes[old].as_ref().and_then(|process| process.proxy.export_state(clock))
         else {
@@ -352,29 +353,29 @@
         };
         let Some(state) = handover_state::decode(&exported) else { return };
         let list = state.list.clone();
-        self.start_process(p, &list, Some(&state));
+        self.start_process(proxy_index, &list, Some(&state));
         self.deliver(old, clock, Event::Retire(leave_in), &[]);
     }
 
     /// Starts a process of a proxy, from the state of its predecessor if there is one.
     fn start_process(
         &mut self,
-        p: usize,
+        proxy_index: usize,
         stored_list: &Value,
         inherited: Option<&handover_state::HandoverState>,
     ) {
         let clock = self.clock();
-        let (experiment, seed) = (&self.world.experiment, u128::from(self.world.proxy_seed(p)));
-        let startup =
-            Startup::parse(&proxy_settings(experiment, p)).expect("the world generates valid settings");
-        let discovery = agent_address(self.world.discovery_address(p));
+        let (experiment, seed) = (&self.world.experiment, u128::from(self.world.proxy_seed(proxy_index)));
+        let startup = Startup::parse(&proxy_settings(experiment, proxy_index))
+            .expect("the world generates valid settings");
+        let discovery = agent_address(self.world.discovery_address(proxy_index));
         let baseline = |policy, fault, startup| {
             let snapshots = self.snapshots.clone();
             Box::new(BaselineProxy::new(
                 clock,
                 startup,
                 experiment,
-                p,
+                proxy_index,
                 seed,
                 discovery,
                 stored_list,
@@ -396,7 +397,7 @@
             ProxyKind::Faulty(fault) => baseline(Policy::LeastOwnConnections, Some(fault), startup),
         };
         let process = Process {
-            proxy_index: p,
+            proxy_index,
             proxy,
             clients: Vec::new(),
             legs: Vec::new(),
@@ -407,16 +408,17 @@
             unassigned: None,
             wake_at: None,
         };
-        self.current[p] = Some(self.processes.len());
+        self.current[proxy_index] = Some(self.processes.len());
         self.processes.push(Some(process));
         self.apply_proxy_effects(self.processes.len() - 1, clock, &[]);
     }
 
     /// The numbers of a proxy's processes: the serving one and the retiring ones.
-    fn processes_of(&self, p: usize) -> Vec<usize> {
-        let is_its =
-            |process: &Option<Process>| process.as_ref().is_some_and(|process| process.proxy_index == p);
-        (0..self.processes.len()).filter(|n| is_its(&self.processes[*n])).collect()
+    fn processes_of(&self, proxy_index: usize) -> Vec<usize> {
+        let belongs_to_proxy = |process: &Option<Process>| {
+            process.as_ref().is_some_and(|process| process.proxy_index == proxy_index)
+        };
+        (0..self.processes.len()).filter(|n| belongs_to_proxy(&self.processes[*n])).collect()
     }
 
     /// Removes a process that has exited; its proxy has exited with the last of its processes.
