--- a/crates/dewhead-lab/src/baseline.rs
+++ b/crates/dewhead-lab/src/baseline.rs
@@ -1,5 +1,5 @@
 //! A proxy that follows the four rules for proxies, places connections by one of the policies of `policy` and
-//! learns nothing from results. Dewhead is compared with it, and faulty variants of it test the auditor.
+//! does not adapt to results. Dewhead is compared with it, and faulty variants of it test the auditor.
 
 use crate::policy::{Policy, SharedSnapshots};
 use crate::simulated::Proxy;
@@ -393,12 +393,12 @@
             if !state.up || state.error_share > 0.0 || state.capacity <= 0.0 {
                 continue;
             }
-            let crossing = if state.zone == self.home_zone { 0.0 } else { self.cross_zone_cost };
+            let crossing_cost = if state.zone == self.home_zone { 0.0 } else { self.cross_zone_cost };
             let utilisation = (state.load + load) / state.capacity + 0.2 * state.queueing_delay;
             if utilisation < MAX_UTILISATION
-                && best.is_none_or(|(lowest, ..)| utilisation + crossing < lowest)
+                && best.is_none_or(|(lowest, ..)| utilisation + crossing_cost < lowest)
             {
-                best = Some((utilisation + crossing, *id, index));
+                best = Some((utilisation + crossing_cost, *id, index));
             }
         }
         let (_, id, index) = best?;
@@ -559,8 +559,14 @@
                     Ok(None) => return,
                     Err(_) => return self.send_last_message(now, key, b"ERR\r\n"),
                 };
-                let known = (&self.known_names, self.groups);
-                match parse_first_line(&session.head[..end], now, self.max_guard_time, known.0, known.1) {
+                let name_options = (&self.known_names, self.groups);
+                match parse_first_line(
+                    &session.head[..end],
+                    now,
+                    self.max_guard_time,
+                    name_options.0,
+                    name_options.1,
+                ) {
                     Ok(FirstLine::Ping) => {
                         session.head.drain(..end);
                         if self.stopping_since.is_some() || self.nodes.is_empty() {
@@ -568,12 +574,13 @@
                         }
                         self.effects.push(Effect::Write(Endpoint::Client(key), b"PONG\r\n".to_vec()));
                     }
-                    Ok(FirstLine::Open { request: wanted, wait_range, server_range, .. }) => {
+                    Ok(FirstLine::Open { request: open_request, wait_range, server_range, .. }) => {
                         session.timeout_range = wait_range;
-                        session.traffic_type = wanted.traffic_type;
-                        session.deadline = wanted.deadline;
-                        session.setup_deadline = now + self.traffic_types[wanted.traffic_type].setup_target;
-                        session.load = wanted.load_hint.unwrap_or(0.0);
+                        session.traffic_type = open_request.traffic_type;
+                        session.deadline = open_request.deadline;
+                        session.setup_deadline =
+                            now + self.traffic_types[open_request.traffic_type].setup_target;
+                        session.load = open_request.load_hint.unwrap_or(0.0);
                         let fixed_node = server_range
                             .map(|range| std::str::from_utf8(&session.head[range]).map_or(0, server_id));
                         session.fixed_node = fixed_node;
--- a/crates/dewhead-lab/src/hunt.rs
+++ b/crates/dewhead-lab/src/hunt.rs
@@ -182,7 +182,7 @@
             // Only the worst finding of each combination of kinds is kept.
             match findings
                 .iter_mut()
-                .find(|b| trouble_kinds(&b.experiment) == trouble_kinds(&finding.experiment))
+                .find(|f| trouble_kinds(&f.experiment) == trouble_kinds(&finding.experiment))
             {
                 Some(known) if known.loss < finding.loss => *known = finding,
                 Some(_) => {}
--- a/crates/dewhead-lab/src/policy.rs
+++ b/crates/dewhead-lab/src/policy.rs
@@ -1,5 +1,5 @@
-//! Load-balancing policies that dewhead is compared with, and an oracle that knows every node's actual state, which no
-//! real proxy can.
+//! Load-balancing policies that dewhead is compared with, and an oracle that uses every node's actual state, which no
+//! real proxy has.
 
 use dewhead_world::nodes::NodeState;
 use dewhead_world::world::World;
--- a/crates/dewhead-lab/src/scale/capacity.rs
+++ b/crates/dewhead-lab/src/scale/capacity.rs
@@ -356,14 +356,15 @@
     let (low, high) = (low?, high?);
     let mut shifted = Vec::new();
     for row in &low {
-        let Some(other) = high.iter().find(|r| r.name == row.name && r.role == row.role) else { continue };
-        if let Some(limit) = row.limit.filter(|_| (row.value - other.value).abs() > 0.05 * row.value.abs()) {
+        let Some(high_row) = high.iter().find(|r| r.name == row.name && r.role == row.role) else { continue };
+        if let Some(limit) = row.limit.filter(|_| (row.value - high_row.value).abs() > 0.05 * row.value.abs())
+        {
             shifted.push(format!(
                 "{} ({}) {} to {} of its limit",
                 row.name,
                 row.role,
                 format_figure(row.value / limit),
-                format_figure(other.value / limit)
+                format_figure(high_row.value / limit)
             ));
         }
     }
--- a/crates/dewhead-lab/src/scale/fake_discovery.rs
+++ b/crates/dewhead-lab/src/scale/fake_discovery.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval between empty lines that show a watcher that the service is alive.
+/// Interval between the empty lines that are sent as heartbeats.
 const HEARTBEAT_INTERVAL_SECONDS: f64 = 2.0;
 /// A watcher with more unsent data than this is disconnected: the service never waits for a slow reader.
 const MAX_UNSENT_BYTES: usize = 8 << 20;
--- a/crates/dewhead-lab/src/scale/run.rs
+++ b/crates/dewhead-lab/src/scale/run.rs
@@ -126,8 +126,8 @@
         let mut command = Command::new(program);
         command.args(["hollow", &spec]).stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
-        let both = child.stdin.take().zip(child.stdout.take());
-        let (stdin, stdout) = both.ok_or("a process of stub proxies has no pipes")?;
+        let pipes = child.stdin.take().zip(child.stdout.take());
+        let (stdin, stdout) = pipes.ok_or("a process of stub proxies has no pipes")?;
         Ok(StubProcess { child, stdin, stdout: BufReader::new(stdout) })
     }
 
--- a/crates/dewhead-lab/src/sockets/addresses.rs
+++ b/crates/dewhead-lab/src/sockets/addresses.rs
@@ -22,10 +22,10 @@
     /// Claims a block that no other run owns.
     pub(super) fn claim() -> Result<AddressBlock, String> {
         // Runs begin the search at different blocks.
-        let first = std::process::id() as usize;
+        let start_offset = std::process::id() as usize;
         let blocks: Vec<u8> = BLOCKS.collect();
         for offset in 0..blocks.len() {
-            let block = blocks[(first + offset) % blocks.len()];
+            let block = blocks[(start_offset + offset) % blocks.len()];
             if let Ok(claim) = TcpListener::bind((Ipv4Addr::new(127, block, 255, 254), CLAIM_PORT)) {
                 return Ok(AddressBlock { block, _claim: claim });
             }
--- a/crates/dewhead-lab/src/stats.rs
+++ b/crates/dewhead-lab/src/stats.rs
@@ -18,7 +18,10 @@
     if sample.len() < 2 {
         return (sample_mean, f64::INFINITY);
     }
-    let freedom = sample.len() - 1;
-    let variance = sample.iter().map(|x| (x - sample_mean).powi(2)).sum::<f64>() / freedom as f64;
-    (sample_mean, T_QUANTILES[freedom.min(T_QUANTILES.len()) - 1] * (variance / sample.len() as f64).sqrt())
+    let degrees_of_freedom = sample.len() - 1;
+    let variance = sample.iter().map(|x| (x - sample_mean).powi(2)).sum::<f64>() / degrees_of_freedom as f64;
+    (
+        sample_mean,
+        T_QUANTILES[degrees_of_freedom.min(T_QUANTILES.len()) - 1] * (variance / sample.len() as f64).sqrt(),
+    )
 }
--- a/crates/dewhead-lab/tests/scale.rs
+++ b/crates/dewhead-lab/tests/scale.rs
@@ -299,10 +299,10 @@
 #[test]
 fn a_fit_recovers_an_exact_line() {
     let runs: Vec<_> = capacity::parse_results(&read_repository_file("scale/results.jsonl")).unwrap();
-    let term = fit::COST_MODELS.iter().find(|t| t.name == "first list, bytes").unwrap();
+    let model = fit::COST_MODELS.iter().find(|m| m.name == "first list, bytes").unwrap();
     let mut exact = runs.clone();
-    exact.iter_mut().for_each(|t| t.first_list_bytes = 7.0 + 3.0 * t.servers);
-    let line = term.fit(exact.iter()).unwrap();
+    exact.iter_mut().for_each(|r| r.first_list_bytes = 7.0 + 3.0 * r.servers);
+    let line = model.fit(exact.iter()).unwrap();
     assert!((line.intercept.0 - 7.0).abs() < 1e-3 && (line.slopes[0].0 - 3.0).abs() < 1e-6, "{line:?}");
     assert!((line.predict(&[1000.0]) - 3007.0).abs() < 1e-2);
 }
--- a/crates/dewhead-lab/tests/sockets.rs
+++ b/crates/dewhead-lab/tests/sockets.rs
@@ -74,11 +74,11 @@
     assert!(counts.misbehaving_clients > 50, "{counts:?}");
     assert_eq!(
         counts.misbehaving_clients_unanswered, 0,
-        "each bad client gets an end of its connection: {counts:?}"
+        "each misbehaving client is answered or disconnected: {counts:?}"
     );
     let violations = &host.world.audit.violations;
     assert!(violations.is_empty(), "{:#?}", violations[0]);
-    // Up to a tolerance of 8, every open socket belongs to a link that the world knows.
+    // Up to a tolerance of 8, every open socket belongs to a link of the world.
     assert!(
         host.open_sockets() <= host.world.open_links() + 8,
         "{} sockets, {} links",
