--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The usual tasks; CONFIG names a configuration for `make run`.
+# Common tasks. CONFIG is the configuration file for `make run`.
 CONFIG ?= $(LB_CONFIG)
 
 .PHONY: build demo test lint run
@@ -6,7 +6,7 @@
 build:
 	cargo build --release --locked
 
-# Two real proxies, four nodes and their clients on loopback; SECONDS_SHOWN says for how long.
+# Two real proxies, four nodes and their clients on loopback; SECONDS_SHOWN is the duration.
 SECONDS_SHOWN ?= 120
 demo: build
 	target/release/dewhead-lab demo --seconds $(SECONDS_SHOWN)
--- a/tools/cold_servers.py
+++ b/tools/cold_servers.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""How close all proxies together come to the limit of rule 4 on a day, from their logs (RUST_LOG=trace, for the loads).
+"""Prints how close all proxies together came to the limit of rule 4 in a run, from their logs (RUST_LOG=trace, for the loads).
 
 usage: cold_servers.py COLD_SHARE WARM_S MULTIPLE WINDOW_S FOLDER...
-The first four come from the settings. A server's capacity is taken to be its weight in mean reported loads. For each folder,
-prints how many legs were sent to cold servers in all; the servers that came closest to the limit, N + 2 sqrt(N) + 2 where N
-is what these figures allow in the window, each with its fraction of the limit, weight, age, legs sent, N and the limit; and
-how often each tenth of the limit was reached.
-Servers are warmer, and warm sooner, than the settings say: the first drops in capacity were seen at about 3 times this
-estimate.
+The first four come from the settings. The capacity of a server is estimated as its weight times the mean reported load. For
+each folder, prints how many legs were sent to cold servers in all; the servers that came closest to the limit,
+N + 2 sqrt(N) + 2 where N is what these figures allow in the window, each with its fraction of the limit, weight, age, legs
+sent, N and the limit; and how often each tenth of the limit was reached.
+Servers start with more capacity, and reach full capacity sooner, than the settings state: the first drops in capacity were
+observed at about 3 times this estimate.
 """
 import collections
 import glob
