--- a/crates/dewhead-world/src/audit.rs
+++ b/crates/dewhead-world/src/audit.rs
@@ -135,7 +135,7 @@
     AfterStop,
 }
 
-/// What the auditor knows of one link, by the kind of its remote end.
+/// The state of an observed link, by the kind of its remote end.
 enum ObservedLink {
     /// A client, with its call's id once known and its first line until that is complete.
     Client(Option<u64>, Bytes),
@@ -207,7 +207,7 @@
     /// it are still on their way through the proxy, and the slot may have been given to another link by then.
     links: BTreeMap<LinkKey, ObservedLink>,
     calls: BTreeMap<u64, Call>,
-    /// Calls that ended a moment ago, with the time. A proxy on sockets learns of an end slightly later.
+    /// Calls that ended a moment ago, with the time. A proxy on sockets observes an end slightly later.
     recent_calls: VecDeque<(f64, u64)>,
     /// By proxy and node.
     notices: Vec<Vec<NodeNotice>>,
@@ -231,8 +231,8 @@
 
 /// Tolerance added to each time limit, in seconds, for data in transit.
 const TIME_TOLERANCE: f64 = 0.05;
-/// Time after which a proxy counts as informed of what its discovery agent knows, whether the update arrived or
-/// not, in seconds.
+/// Time after which a proxy counts as informed of a change that its discovery agent has, whether the update
+/// arrived or not, in seconds.
 const NOTICE_DEADLINE: f64 = 6.0;
 /// Longest time for which a proxy may hold a line back, in seconds.
 const MAX_LINE_DELAY: f64 = 1.0;
@@ -255,12 +255,12 @@
 }
 
 /// Returns the value of a named field of a comma-separated `name=value` list.
-fn field<'a>(list: &'a str, name: &str) -> Option<&'a str> {
+fn field_value<'a>(list: &'a str, name: &str) -> Option<&'a str> {
     list.split(',').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
 }
 
 /// The start of a message as text for a trace.
-fn text(bytes: &[u8]) -> String {
+fn trace_excerpt(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).trim_end().chars().take(120).collect()
 }
 
@@ -412,8 +412,9 @@
         let mut words = open_line.split(' ');
         let id = words.nth(1).and_then(|id| u64::from_str_radix(id, 16).ok());
         let list = words.nth(1).unwrap_or("");
-        let traffic_type = field(list, "c").and_then(|c| self.traffic_types.iter().position(|k| k.0 == c));
-        let time_left = field(list, "d").and_then(|d| d.parse::<f64>().ok());
+        let traffic_type =
+            field_value(list, "c").and_then(|c| self.traffic_types.iter().position(|k| k.0 == c));
+        let time_left = field_value(list, "d").and_then(|d| d.parse::<f64>().ok());
         let (Some(id), Some(traffic_type), Some(time_left)) = (id, traffic_type, time_left) else { return };
         self.calls_accepted += 1;
         self.links.insert(key, ObservedLink::Client(Some(id), Bytes::new()));
@@ -422,7 +423,7 @@
             link: key,
             traffic_type,
             deadline: now + time_left / 1e3,
-            restored: field(list, "at").is_some(),
+            restored: field_value(list, "at").is_some(),
             legs: Vec::new(),
             first_run: None,
             legs_sent: 0,
@@ -432,7 +433,7 @@
             answer_line: Bytes::new(),
             unanswered_since: None,
             server_ended_at: None,
-            trace: vec![(now, format!("proxy {proxy} accepts '{}'", text(open_line.as_bytes())))],
+            trace: vec![(now, format!("proxy {proxy} accepts '{}'", trace_excerpt(open_line.as_bytes())))],
         };
         self.calls.insert(id, call);
     }
@@ -469,7 +470,9 @@
                 if leg.outcome == LegOutcome::Established {
                     leg.to_client.buffered_since = Some(now);
                 }
-                self.record_trace(now, call, || format!("node {node} answers '{}'", text(line.as_bytes())));
+                self.record_trace(now, call, || {
+                    format!("node {node} answers '{}'", trace_excerpt(line.as_bytes()))
+                });
             }
         }
         if let Some(call) = call.and_then(|c| self.calls.get_mut(&c)) {
@@ -508,7 +511,8 @@
             return self.check_forwarded(now, id, leg, proxy, bytes);
         }
         if call.answered {
-            let description = format!("after its final answer the client was sent '{}'", text(bytes));
+            let description =
+                format!("after its final answer the client was sent '{}'", trace_excerpt(bytes));
             return self.report_violation(now, Rule::OneAnswer, proxy, Some(id), description);
         }
         call.answer_line.extend_from_slice(bytes);
@@ -517,7 +521,9 @@
         let line = String::from_utf8_lossy(&received[..end]).trim_end().to_owned();
         call.answered = true;
         let (deadline, traffic_type, legs) = (call.deadline, call.traffic_type, call.legs.clone());
-        self.record_trace(now, Some(id), || format!("the client is sent '{}'", text(line.as_bytes())));
+        self.record_trace(now, Some(id), || {
+            format!("the client is sent '{}'", trace_excerpt(line.as_bytes()))
+        });
         if now > deadline + TIME_TOLERANCE + self.observation_slack {
             let description = format!("its final answer came {:.3} s after its guard time", now - deadline);
             self.report_violation(now, Rule::OneAnswer, proxy, Some(id), description);
@@ -559,13 +565,15 @@
             _ => self.answer_counts[2] += 1,
         }
         if received.len() > end + 1 && self.calls.get(&id).is_some_and(|c| c.bound_leg.is_none()) {
-            let description =
-                format!("after its final answer the client was sent '{}'", text(&received[end + 1..]));
+            let description = format!(
+                "after its final answer the client was sent '{}'",
+                trace_excerpt(&received[end + 1..])
+            );
             self.report_violation(now, Rule::OneAnswer, proxy, Some(id), description);
         }
     }
 
-    /// Returns a leg's outcome as far as the proxy can know it. A leg whose first line is not complete did
+    /// Returns a leg's outcome as far as it is known at the proxy. A leg whose first line is not complete did
     /// not run.
     fn leg_outcome(&self, key: LinkKey) -> LegOutcome {
         match self.links.get(&key) {
@@ -609,7 +617,7 @@
         if !b"MOVE\r\n".starts_with(&proxy_line[..]) {
             let description = format!(
                 "an established client was sent '{}', which its server did not write",
-                text(&proxy_line)
+                trace_excerpt(&proxy_line)
             );
             self.report_violation(now, Rule::Lines, proxy, Some(id), description);
         } else if proxy_line.len() == 6 {
@@ -654,7 +662,7 @@
             if !ended_recently {
                 let description = format!(
                     "a leg to node {node} for a call that has ended or never arrived: '{}'",
-                    text(open_line.as_bytes())
+                    trace_excerpt(open_line.as_bytes())
                 );
                 self.report_violation(now, Rule::OneAnswer, proxy, None, description);
             }
@@ -975,7 +983,7 @@
         }
     }
 
-    /// The discovery agent of a proxy has learned of a node's state: the proxy counts as informed a fixed time
+    /// The discovery agent of a proxy has received a node's state: the proxy counts as informed a fixed time
     /// later, whether the agent writes the update or not.
     pub(crate) fn on_agent_update(&mut self, now: f64, proxy: usize, node: usize, ready: bool, started: f64) {
         let notice = &mut self.notices[proxy][node];
@@ -1005,8 +1013,8 @@
     }
 
     /// All of a proxy's processes have ended. If they were killed without a preceding stop, their calls are
-    /// dropped without a check. If they exited by themselves, or were killed after the time allowed for a stop, all calls must have been
-    /// answered and all clients sent away.
+    /// dropped without a check. If they exited by themselves, or were killed after the time allowed for a
+    /// stop, all calls must have been answered and all clients sent away.
     pub(crate) fn on_proxy_exit(&mut self, now: f64, proxy: usize) {
         let kill_state = self.kill_states[proxy];
         let cause = if kill_state == KillState::AfterStop { "is killed" } else { "exits" };
@@ -1031,8 +1039,8 @@
         }
     }
 
-    /// A cold node has crashed from overload. If two thirds of its load came from proxies that knew of its start,
-    /// this reports the one of them that sent the largest connection.
+    /// A cold node has crashed from overload. If two thirds of its load came from proxies that had been informed
+    /// of its start, this reports the one of them that sent the largest connection.
     pub(crate) fn on_node_crash(
         &mut self,
         now: f64,
--- a/crates/dewhead-world/src/discovery.rs
+++ b/crates/dewhead-world/src/discovery.rs
@@ -25,7 +25,7 @@
     changed_in: u64,
 }
 
-/// A change of a node's state, before discovery has it and later until all agents have it.
+/// A change of a node's state: pending until discovery receives it, then published as a version.
 #[derive(Clone, Debug)]
 struct Change {
     node: usize,
@@ -46,9 +46,11 @@
     entries: Vec<Entry>,
     /// The open watches; there are two during a handover.
     watches: Vec<Watch>,
+    /// The part of a request that has arrived so far.
     request: Bytes,
     /// Index of the address at which the agent accepts connections.
     pub address: usize,
+    /// Whether the agent writes nothing.
     pub silent: bool,
     /// Subtracted from versions when they are written, since a restart resets the count.
     version_offset: u64,
@@ -57,13 +59,15 @@
 /// The state of discovery and its agents.
 pub(crate) struct Discovery {
     random: RandomStream,
-    /// Changes by number, until discovery has them; then in the order of their versions, for the agents.
+    /// Changes by number, until discovery receives them.
     pending_changes: BTreeMap<u64, Change>,
     change_count: u64,
+    /// The published changes, in the order of their versions; the first has version 2.
     versions: Vec<Change>,
     pub agents: Vec<Agent>,
     /// Additional delay of all changes, in seconds.
     pub extra_delay: f64,
+    /// By node: its name, zone, cell and weight.
     node_info: Vec<(String, usize, u64, f64)>,
     zones: Vec<String>,
     /// Unix time at the start of the experiment, in seconds.
@@ -212,11 +216,11 @@
         if self.discovery.agents[n].silent {
             return;
         }
-        for at in 0..self.discovery.agents[n].watches.len() {
-            let Watch { link, written_version } = self.discovery.agents[n].watches[at];
+        for i in 0..self.discovery.agents[n].watches.len() {
+            let Watch { link, written_version } = self.discovery.agents[n].watches[i];
             if written_version < version {
                 let list = self.discovery.node_list(n, false, written_version);
-                self.discovery.agents[n].watches[at].written_version = version;
+                self.discovery.agents[n].watches[i].written_version = version;
                 self.send_chunk(now, link, &format!("{list}\n"));
             }
         }
@@ -238,14 +242,13 @@
         self.queue.push(now + HEARTBEAT_INTERVAL, Event::Heartbeat(n, link));
     }
 
-    /// A message has arrived at a proxy's agent. `at` is the index of the address to which the proxy has
-    /// connected.
-    pub(crate) fn agent_receives(&mut self, now: f64, at: usize, key: LinkKey, message: Message) {
+    /// A message has arrived at a proxy's agent, on a connection to the address of this index.
+    pub(crate) fn agent_receives(&mut self, now: f64, address_index: usize, key: LinkKey, message: Message) {
         let n = self.links[key].proxy;
         match message {
             Message::Connect => {
                 // An old address accepts no connections after a move.
-                let accepts = self.discovery.agents[n].address == at;
+                let accepts = self.discovery.agents[n].address == address_index;
                 self.send(now, key, true, Message::ConnectResult(accepts));
             }
             Message::Bytes(bytes) => {
@@ -301,7 +304,7 @@
         }
     }
 
-    /// Moves a proxy's discovery agent to another address, which the proxy learns from its configuration.
+    /// Moves a proxy's discovery agent to another address, which is written into the proxy's configuration.
     /// Connections to the old address are closed 1.5 seconds later.
     pub(crate) fn move_discovery(&mut self, now: f64, proxy: usize) {
         let agent = &mut self.discovery.agents[proxy];
--- a/crates/dewhead-world/src/experiment.rs
+++ b/crates/dewhead-world/src/experiment.rs
@@ -275,12 +275,12 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// Delay until discovery knows of a process that has ended, in seconds.
+    /// Delay until discovery records a process that has ended, in seconds.
     #[serde(rename = "notice")]
     pub failure_notice: Range,
-    /// Delay until discovery knows of a machine that has become silent, in seconds.
+    /// Delay until discovery records a machine that has become silent, in seconds.
     pub silent_notice: Range,
-    /// Delay until discovery knows of a process that has started or is draining, in seconds.
+    /// Delay until discovery records a process that has started or is draining, in seconds.
     #[serde(rename = "add")]
     pub update_notice: Range,
     /// Largest delay from a change in discovery until a proxy's agent has it, in seconds.
--- a/crates/dewhead-world/src/node_connections.rs
+++ b/crates/dewhead-world/src/node_connections.rs
@@ -51,7 +51,7 @@
         &mut self,
         now: f64,
         node: usize,
-        at: Option<ConnectionKey>,
+        accepted: Option<ConnectionKey>,
         key: LinkKey,
         message: Message,
     ) {
@@ -80,7 +80,7 @@
                 }
             },
             Message::Bytes(bytes) => {
-                let Some(connection) = at else { return };
+                let Some(connection) = accepted else { return };
                 let Some(entry) = self.connections.get_mut(connection) else { return };
                 let mut received_lines: Vec<String> = Vec::new();
                 if entry.established {
@@ -99,7 +99,7 @@
                     self.on_open_line(now, connection, &open_line);
                 }
             }
-            Message::End(_) => match at {
+            Message::End(_) => match accepted {
                 Some(connection) => self.drop_connection(now, connection, EndKind::Closed),
                 None => self.close_from_peer(now, key, EndKind::Closed),
             },
--- a/crates/dewhead-world/src/troubles/bad_clients.rs
+++ b/crates/dewhead-world/src/troubles/bad_clients.rs
@@ -45,16 +45,16 @@
 
 fn on_stage(world: &mut World, now: f64, trouble: &Trouble, n: usize, stage: u32) -> Option<f64> {
     let ends = trouble.at + trouble.duration;
-    let overdue = world.misbehaving.0.iter().filter(|b| now - b.connected_at > END_DEADLINE + 0.1).count();
+    let overdue = world.misbehaving.0.iter().filter(|c| now - c.connected_at > END_DEADLINE + 0.1).count();
     world.service.counts.misbehaving_clients_unanswered += overdue as u64;
     let overdue_links: Vec<LinkKey> = world
         .misbehaving
         .0
         .iter()
-        .filter(|b| now - b.connected_at > END_DEADLINE + 0.1)
-        .map(|b| b.link)
+        .filter(|c| now - c.connected_at > END_DEADLINE + 0.1)
+        .map(|c| c.link)
         .collect();
-    world.misbehaving.0.retain(|b| now - b.connected_at <= END_DEADLINE + 0.1);
+    world.misbehaving.0.retain(|c| now - c.connected_at <= END_DEADLINE + 0.1);
     for link in overdue_links {
         world.close_from_peer(now, link, EndKind::Closed);
     }
@@ -95,12 +95,12 @@
     match message {
         Message::Connect => {}
         Message::ConnectResult(_) => {
-            world.misbehaving.0.retain(|b| b.link != key);
+            world.misbehaving.0.retain(|c| c.link != key);
             world.links.remove(key);
         }
-        Message::Bytes(_) => world.misbehaving.0.retain(|b| b.link != key),
+        Message::Bytes(_) => world.misbehaving.0.retain(|c| c.link != key),
         Message::End(_) => {
-            world.misbehaving.0.retain(|b| b.link != key);
+            world.misbehaving.0.retain(|c| c.link != key);
             world.close_from_peer(now, key, EndKind::Closed);
         }
     }
--- a/crates/dewhead-world/src/troubles/flood.rs
+++ b/crates/dewhead-world/src/troubles/flood.rs
@@ -13,8 +13,10 @@
 };
 
 fn on_stage(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
-    let position =
-        trouble.subject.as_ref().and_then(|of| world.experiment.tenants.iter().position(|s| s.name == *of));
+    let position = trouble
+        .subject
+        .as_ref()
+        .and_then(|subject| world.experiment.tenants.iter().position(|s| s.name == *subject));
     let tenant = position.unwrap_or(0);
     if stage == 0 {
         world.population.tenant_multiples[tenant] *= trouble.magnitude;
--- a/crates/dewhead-world/src/troubles/heavy_tail.rs
+++ b/crates/dewhead-world/src/troubles/heavy_tail.rs
@@ -12,8 +12,10 @@
 };
 
 fn on_stage(world: &mut World, now: f64, trouble: &Trouble, _n: usize, stage: u32) -> Option<f64> {
-    let position =
-        trouble.subject.as_ref().and_then(|of| world.experiment.traffic.iter().position(|t| t.name == *of));
+    let position = trouble
+        .subject
+        .as_ref()
+        .and_then(|subject| world.experiment.traffic.iter().position(|t| t.name == *subject));
     let traffic_type = position.unwrap_or(1.min(world.experiment.traffic.len() - 1));
     if stage == 0 {
         world.population.heavy_loads[traffic_type] = (trouble.fraction, trouble.magnitude);
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -180,9 +180,9 @@
     MoveClient(ConnectionKey),
     /// The demand of this traffic type falls by this revenue rate.
     DemandEnds(usize, f64),
-    /// Discovery learns of the change of this number.
+    /// Discovery receives the change of this number.
     DiscoveryUpdate(u64),
-    /// An agent learns of this version.
+    /// An agent receives this version.
     AgentUpdate(usize, u64),
     /// An agent writes an empty line to a watch.
     Heartbeat(usize, LinkKey),
@@ -582,14 +582,14 @@
         match link.peer {
             Peer::Client(client) => self.client_receives(now, client, key, message),
             Peer::Misbehaving(n) => crate::troubles::bad_clients::receive(self, now, n, key, message),
-            // The late writer stops once the proxy has closed its side.
+            // A client that ignores `MOVE` stops writing once the proxy has closed its side.
             Peer::IgnoringMove if matches!(message, Message::End(EndKind::Closed | EndKind::Broken)) => {
                 self.close_from_peer(now, key, EndKind::Closed);
             }
             Peer::IgnoringMove => {}
             Peer::Front => self.front_receives(now, key, message),
-            Peer::Node(node, at) => self.node_receives(now, node, at, key, message),
-            Peer::Agent(agent) => self.agent_receives(now, agent, key, message),
+            Peer::Node(node, connection) => self.node_receives(now, node, connection, key, message),
+            Peer::Agent(address_index) => self.agent_receives(now, address_index, key, message),
         }
     }
 
