--- a/crates/dewhead-faults-preload/src/hooks.rs
+++ b/crates/dewhead-faults-preload/src/hooks.rs
@@ -222,7 +222,7 @@
     libc_function!("open64", Open64Fn)(path, flags, mode)
 }
 
-/// Reads a clock; the wall clock is wrong by the step of the plan from its start on.
+/// Reads a clock; from the time of the plan's step on, the wall clock is shifted by its size.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, now: *mut timespec) -> c_int {
     let result = libc_function!("clock_gettime", ClockGettimeFn)(clock, now);
--- a/crates/dewhead-lab/src/report.rs
+++ b/crates/dewhead-lab/src/report.rs
@@ -37,23 +37,23 @@
 /// Service metrics of a run.
 #[derive(Deserialize)]
 pub struct ReportedOutcome {
-    /// The share of the demanded revenue that was served well.
+    /// Revenue served within the message target, as a fraction of the demand.
     pub service: f64,
-    /// The same share in the worst ten seconds.
+    /// The same in the worst ten seconds.
     #[serde(rename = "worst_ten")]
     pub worst_ten_seconds: f64,
-    /// The same share of the worst traffic type.
+    /// The same for the worst traffic type.
     pub worst_type: f64,
-    /// The 50 %, 99 % and 99.9 % quantiles of the set-up time, in seconds.
+    /// The 50 %, 99 % and 99.9 % quantiles of the setup time, in seconds.
     #[serde(rename = "set_up")]
     pub setup_times: [f64; 3],
-    /// Quantiles of the set-up time from an HDR histogram: the rank from 0 to 1 and the time in milliseconds.
+    /// Quantiles of the setup time from an HDR histogram: the rank from 0 to 1 and the time in milliseconds.
     #[serde(rename = "quantiles", default)]
     pub setup_quantiles: Vec<(f64, f64)>,
     /// Revenue demanded, per second.
     #[serde(rename = "wanted")]
     pub demand: Vec<f64>,
-    /// Revenue served well, per second.
+    /// Revenue served within the message target, per second.
     pub served: Vec<f64>,
     /// Numbers of calls, clients and events by kind.
     pub counts: serde_json::Value,
--- a/crates/dewhead-lab/src/runs.rs
+++ b/crates/dewhead-lab/src/runs.rs
@@ -86,12 +86,12 @@
 /// The part of a run's service metrics that `compare` reads.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ComparedOutcome {
-    /// The share of the demanded revenue that was served well.
+    /// Revenue served within the message target, as a fraction of the demand.
     pub service: f64,
-    /// The same share in the worst ten seconds.
+    /// The same in the worst ten seconds.
     #[serde(rename = "worst_ten")]
     pub worst_ten_seconds: f64,
-    /// The same share of the worst traffic type.
+    /// The same for the worst traffic type.
     pub worst_type: f64,
 }
 
--- a/crates/dewhead-lab/src/scale/fake_discovery.rs
+++ b/crates/dewhead-lab/src/scale/fake_discovery.rs
@@ -65,7 +65,7 @@
     pub publish_times: Vec<(u64, f64)>,
     /// Largest delay of a change beyond its scheduled time, in seconds.
     pub max_delay: f64,
-    /// Bytes that all watchers together have not yet taken.
+    /// Bytes queued for all watchers together and not sent yet.
     pub unread_bytes: usize,
 }
 
@@ -210,7 +210,7 @@
                     }
                     DiscoveryCommand::Suspend(seconds) => {
                         self.suspended_until = now + seconds;
-                        // A service that goes away closes its watches.
+                        // A service that stops closes its watches.
                         let all_watchers: Vec<usize> = self.watchers.iter().map(|(i, _)| i).collect();
                         all_watchers.into_iter().for_each(|i| self.close(i));
                     }
@@ -360,7 +360,7 @@
         }
     }
 
-    /// Queues bytes for a watcher, which is disconnected if too many are unsent, and sends what its socket takes.
+    /// Queues bytes for a watcher, which is disconnected if too many are unsent, and sends what its socket accepts.
     fn write(&mut self, i: usize, bytes: &[u8]) {
         let Some(watcher) = self.watchers.get_mut(i) else { return };
         self.counts.bytes[watcher.listener] += bytes.len() as u64;
--- a/crates/dewhead-lab/src/scale/stub_proxy.rs
+++ b/crates/dewhead-lab/src/scale/stub_proxy.rs
@@ -109,7 +109,7 @@
     position: usize,
     /// The connection to discovery, the request to send on it, and whether it is still connecting.
     watch: Option<(TcpStream, Vec<u8>, bool)>,
-    /// The slot that the last accepted client was given, until the call takes it.
+    /// The slot assigned to the last accepted client, until its call is made.
     assigned_slot: Option<usize>,
     /// Slots of open calls, oldest first, with the serial number of the call; closed calls are not removed.
     calls_by_age: VecDeque<(usize, u64)>,
--- a/crates/dewhead-lab/src/soak.rs
+++ b/crates/dewhead-lab/src/soak.rs
@@ -86,7 +86,7 @@
     pub troubles: Vec<String>,
     /// The system calls that failed in the proxies' processes.
     pub fault_plan: Plan,
-    /// The share of the demanded revenue that was served well.
+    /// Revenue served within the message target, as a fraction of the demand.
     pub service: f64,
     /// The number of completed calls.
     pub completed: u64,
--- a/crates/dewhead-lab/src/sockets.rs
+++ b/crates/dewhead-lab/src/sockets.rs
@@ -462,7 +462,7 @@
         self.world.on_end(now, link, EndKind::Broken);
     }
 
-    /// Writes as many unsent bytes as the socket takes, then shuts down sending if the world has.
+    /// Writes as many unsent bytes as the socket accepts, then shuts down sending if the world has.
     fn flush(&mut self, slot: usize) {
         let Some(socket) = self.sockets.get_mut(slot).filter(|s| !s.connecting) else { return };
         let mut written = 0;
--- a/crates/dewhead-world/src/clients.rs
+++ b/crates/dewhead-world/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients. They arrive independently of the fate of earlier ones, wait for an answer until their guard time,
+//! Clients. They arrive regardless of whether earlier ones were served, wait for an answer until their guard time,
 //! retry after pauses, stay connected for their lifetime, and reconnect after a broken connection or a move.
 
 use crate::experiment::Experiment;
@@ -27,7 +27,7 @@
     pub load: f64,
     hint: f64,
     revenue_rate: f64,
-    /// Time at which it leaves for good.
+    /// Time at which it leaves and does not reconnect.
     pub leaves_at: f64,
     retries: u32,
     pause: f64,
--- a/crates/dewhead-world/src/experiment.rs
+++ b/crates/dewhead-world/src/experiment.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A range `[least, most]` from which values are drawn uniformly.
+/// A range `[lowest, highest]` from which values are drawn uniformly.
 pub type Range = [f64; 2];
 
 /// An experiment.
@@ -95,7 +95,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodeBehaviour {
-    /// Most connections per core; further calls get `BUSY`.
+    /// Maximum number of connections per core; further calls get `BUSY`.
     #[serde(rename = "connections_a_core")]
     pub connections_per_core: f64,
     /// Mean work to set up a connection, in core-seconds.
@@ -312,7 +312,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Most legs of a call.
+    /// Maximum number of legs of a call.
     #[serde(rename = "most_legs")]
     pub max_legs: u32,
     /// Whether two legs of a call may be pending at once.
--- a/crates/dewhead-world/src/troubles/discovery_late.rs
+++ b/crates/dewhead-world/src/troubles/discovery_late.rs
@@ -1,4 +1,4 @@
-//! Discovery learns of changes later than usual.
+//! Changes reach discovery later than usual.
 
 use super::TroubleKind;
 use crate::experiment::Trouble;
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -67,7 +67,7 @@
 /// An action that the host carries out on a proxy.
 #[derive(Debug)]
 pub enum Effect {
-    /// Someone connects to the proxy of this index.
+    /// A client or the front layer connects to the proxy of this index.
     Connect(LinkKey, usize),
     /// A connection opened by the proxy is established.
     Established(LinkKey),
@@ -104,7 +104,7 @@
     Agent(usize),
 }
 
-/// What a link carries.
+/// A message on a link.
 #[derive(Debug)]
 pub(crate) enum Message {
     /// A connection request.
