--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -67,7 +67,7 @@
 /// An action that the host carries out on a proxy.
 #[derive(Debug)]
 pub enum Effect {
-    /// Someone connects to the proxy of this index.
+    /// A client or the front layer connects to the proxy of this index.
     Connect(LinkKey, usize),
     /// A connection opened by the proxy is established.
     Established(LinkKey),
@@ -104,7 +104,7 @@
     Agent(usize),
 }
 
-/// What a link carries.
+/// A message on a link.
 #[derive(Debug)]
 pub(crate) enum Message {
     /// A connection request.
@@ -180,9 +180,9 @@
     MoveClient(ConnectionKey),
     /// The demand of this traffic type falls by this revenue rate.
     DemandEnds(usize, f64),
-    /// Discovery learns of the change of this number.
+    /// Discovery receives the change of this number.
     DiscoveryUpdate(u64),
-    /// An agent learns of this version.
+    /// An agent receives this version.
     AgentUpdate(usize, u64),
     /// An agent writes an empty line to a watch.
     Heartbeat(usize, LinkKey),
@@ -582,14 +582,14 @@
         match link.peer {
             Peer::Client(client) => self.client_receives(now, client, key, message),
             Peer::Misbehaving(n) => crate::troubles::bad_clients::receive(self, now, n, key, message),
-            // The late writer stops once the proxy has closed its side.
+            // A client that ignores `MOVE` stops writing once the proxy has closed its side.
             Peer::IgnoringMove if matches!(message, Message::End(EndKind::Closed | EndKind::Broken)) => {
                 self.close_from_peer(now, key, EndKind::Closed);
             }
             Peer::IgnoringMove => {}
             Peer::Front => self.front_receives(now, key, message),
-            Peer::Node(node, at) => self.node_receives(now, node, at, key, message),
-            Peer::Agent(agent) => self.agent_receives(now, agent, key, message),
+            Peer::Node(node, connection) => self.node_receives(now, node, connection, key, message),
+            Peer::Agent(address_index) => self.agent_receives(now, address_index, key, message),
         }
     }
 
@@ -655,7 +655,7 @@
     pub fn on_listener_closed(&mut self, now: f64, proxy: usize) {
         self.update_digest(now, 10, proxy, &[]);
         self.proxies[proxy].listening = false;
-        self.service.annotate(now, format!("proxy {proxy} stops listening"));
+        self.service.annotate(now, format!("proxy {proxy} listens no more"));
         self.front_notices_exit(now, proxy);
     }
 
@@ -664,7 +664,7 @@
         self.update_digest(now, 9, proxy, &[]);
         let was_listening = std::mem::replace(&mut self.proxies[proxy].listening, false);
         self.audit.on_proxy_exit(now, proxy);
-        self.service.annotate(now, format!("proxy {proxy} has exited"));
+        self.service.annotate(now, format!("proxy {proxy} is gone"));
         let open_links: Vec<LinkKey> = self
             .links
             .iter()
