--- a/crates/dewhead-proxy/src/control/predecessor.rs
+++ b/crates/dewhead-proxy/src/control/predecessor.rs
@@ -1,6 +1,6 @@
 //! The process that this one takes over from: requests its listening socket and its learned state, and watches the
-//! connection to it until it ends. It may serve its own clients for another minute. A supervisor may send its stop signal
-//! to this process only, which therefore passes it on.
+//! connection to it until it ends. It may serve its own clients for another minute. A supervisor may send its stop
+//! signal to this process only, which therefore passes it on.
 
 use super::client::{parse_response, RESPONSE_TIMEOUT};
 use super::protocol;
@@ -33,7 +33,8 @@
     ///
     /// # Errors
     ///
-    /// One line that names the socket: no process answers there, or the process hands nothing over.
+    /// The fault that the process responded with, or one line that names the socket: no process answers there, or the
+    /// handover is incomplete.
     pub fn request_handover(socket: &Path) -> Result<Predecessor, String> {
         let error_text = |e: io::Error| format!("{}: {e}", socket.display());
         let mut stream = retry_transient(|| BlockingUnixStream::connect(socket)).map_err(error_text)?;
@@ -68,12 +69,14 @@
         Ok(Predecessor { stream, socket, listener, handover_state: response["handed"].clone() })
     }
 
-    /// Reports to the predecessor that this process has taken over. Once it responds, it accepts no more clients and
-    /// moves its own away over `seconds`. Returns the listening socket and the connection to the predecessor.
+    /// Reports to the predecessor that this process has taken over. Once the predecessor responds, it accepts no more
+    /// clients and moves its own away over `seconds`; if none, over its default time. Returns the listening socket and
+    /// the connection to the predecessor.
     ///
     /// # Errors
     ///
-    /// One line: the predecessor has ended, which names the socket, or it has received a stop request in the meantime.
+    /// One line that names the socket if the predecessor has ended; otherwise the fault that it responded with, as it
+    /// has received a stop request in the meantime.
     pub fn confirm_takeover(
         mut self,
         seconds: Option<f64>,
--- a/crates/dewhead-proxy/src/control/protocol.rs
+++ b/crates/dewhead-proxy/src/control/protocol.rs
@@ -13,13 +13,13 @@
     /// `connections`: the open sessions, up to 1000 of them.
     Connections,
     /// `drain`: move all clients away over this time in seconds, and leave `PING` unanswered, so that front-end load
-    /// balancers send no new ones.
+    /// balancers send no new ones. If no time is given, a default applies, as it does for `TakenOver`.
     Drain(Option<f64>),
     /// `undrain`: end the drain.
     Undrain,
     /// `reload`: read the configuration again.
     Reload,
-    /// `handover`: start a successor, from the program at this path.
+    /// `handover`: start a successor, from the program at this path; if none, from this process's program.
     Handover(Option<String>),
     /// `succeed`, from a successor: send the listening socket and the learned state.
     TakeOver,
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 ///
-/// One line that names the faulty field.
+/// One line that says what is wrong with the request.
 pub fn parse_request(line: &str) -> Result<Request, String> {
     let value: Value =
         serde_json::from_str(line).map_err(|_| "a request must be one line of JSON".to_owned())?;
--- a/crates/dewhead-proxy/src/event_loop.rs
+++ b/crates/dewhead-proxy/src/event_loop.rs
@@ -47,7 +47,7 @@
 const RELOAD_RETRY_LIMIT_SECONDS: f64 = 3.0;
 
 /// Reads the configuration again and returns the values that can change at run time, the address of discovery and the
-/// most descriptors; none if the configuration is invalid.
+/// most descriptors; none if the configuration can't be read or is invalid.
 pub type ConfigurationReloader = Box<dyn FnMut(FaultLogging) -> Option<(SocketAddr, usize)>>;
 
 /// Whether errors in the configuration are logged.
@@ -204,7 +204,8 @@
         })
     }
 
-    /// Runs until the reducer ends the process and, if a stop was requested, until the predecessor has ended.
+    /// Runs until the reducer ends the process and the predecessor has ended. If a stop was requested, it waits for the
+    /// predecessor only until `predecessor_deadline`.
     ///
     /// # Errors
     ///
@@ -272,7 +273,8 @@
                     }
                 }
             }
-            // Only the flags are used: a byte may have been lost, and one whose flag is already cleared is a repetition.
+            // Only the flags are used: a byte may have been lost, and one whose flag is already cleared is a
+            // repetition.
             if let Some(flags) = &self.signal_flags {
                 (stop, reload) = (flags.stop.take(), flags.reload.take());
             }
@@ -284,7 +286,7 @@
             }
             self.close_broken_sockets(now);
             // Timers run only after all earlier bytes are read. Otherwise a process that was delayed for a second
-            // treats unread answers as missing, and rejects clients whose answer has arrived. One poll may not
+            // treats unread answers as missing, and sends clients away whose answer has arrived. One poll may not
             // return all readable sockets.
             polls_since_tick += 1;
             if events.iter().count() < MAX_POLL_EVENTS || polls_since_tick > MAX_POLLS_WITHOUT_TICK {
@@ -358,7 +360,7 @@
         }
     }
 
-    /// Reads the configuration and applies it. Returns false if it is invalid.
+    /// Reads the configuration and applies it. Returns false if it can't be read or is invalid.
     fn reload(&mut self, now: f64, fault_logging: FaultLogging) -> bool {
         let Some((discovery, max_descriptors)) = (self.reloader)(fault_logging) else { return false };
         self.dispatch(now, Event::Reconfigured(discovery, max_descriptors), &[]);
--- a/crates/dewhead-proxy/src/event_loop/accept.rs
+++ b/crates/dewhead-proxy/src/event_loop/accept.rs
@@ -17,8 +17,8 @@
 
 impl EventLoop {
     /// Accepts the clients in the listen queue and reads from all clients. Closing the listener would reset clients
-    /// that connected in time and are not accepted yet. Accepting may fail temporarily. At the latest exit time, this is
-    /// the last opportunity to read and answer what connected clients have sent.
+    /// that connected in time and are not accepted yet. Accepting may fail temporarily. At the latest exit time, this
+    /// is the last opportunity to read and answer what connected clients have sent.
     pub(super) fn accept_remaining(&mut self, now: f64) {
         for _ in 0..FINAL_ACCEPT_ROUNDS {
             while self.accept(now) {}
--- a/crates/dewhead-proxy/src/guard.rs
+++ b/crates/dewhead-proxy/src/guard.rs
@@ -22,7 +22,7 @@
     SentToUnreadyServer,
     /// A second attempt was to be made while another one is open, where that is not allowed.
     OverlappingAttempts,
-    /// A request that may have been executed was to be sent to a server that might execute it again.
+    /// A request that may have been executed was to be sent where a repeat is not known to be harmless.
     UnsafeRepeat,
     /// A connection was closed after a request was read and before it was answered.
     ClosedUnanswered,
@@ -30,8 +30,8 @@
     CutWithoutMove,
     /// This proxy alone sent a server in slow start more than all proxies together may send it.
     SlowStartExceeded,
-    /// A process exited before its predecessor. Its supervisor may then kill the predecessor, whose clients have not been
-    /// sent `MOVE` yet.
+    /// A process exited before its predecessor. Its supervisor may then kill the predecessor, whose clients have not
+    /// been sent `MOVE` yet.
     EndedBeforePredecessor,
 }
 
--- a/crates/dewhead-proxy/src/lifecycle/stages.rs
+++ b/crates/dewhead-proxy/src/lifecycle/stages.rs
@@ -80,7 +80,7 @@
     ReloadConfiguration,
     /// Start to drain.
     Drain,
-    /// End the drain and accept clients again.
+    /// End the drain.
     Undrain,
     /// Start to stop.
     Stop,
--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -45,7 +45,7 @@
     Server(usize),
 }
 
-/// An input of the state machine. Bare `usize` values are leg slots.
+/// An input of the state machine. In a variant with a `usize` alone, that is a leg's slot.
 #[derive(Debug)]
 pub enum Event<'a> {
     /// A client has connected.
@@ -173,8 +173,8 @@
 const MAX_REPLY_SILENCE_SECONDS: f64 = 1.0;
 /// A line that a server has begun is completed within this many seconds, or never.
 const LINE_COMPLETION_TIMEOUT_SECONDS: f64 = 0.9;
-/// At the start, first lines are not processed until discovery has sent its list, but for no longer than this fraction of
-/// the longest guard time: the local agent of discovery either answers at once or not at all.
+/// At the start, first lines are not processed until discovery has sent its list, but for no longer than this fraction
+/// of the longest guard time: the local agent of discovery either answers at once or not at all.
 const CONFIRMATION_TIMEOUT_SHARE: f64 = 1.0 / 16.0;
 /// A measured duration is not attributed to a server if the iteration in which it ends was late by more than this
 /// fraction of the duration.
--- a/crates/dewhead-proxy/src/reducer/balancer_requests.rs
+++ b/crates/dewhead-proxy/src/reducer/balancer_requests.rs
@@ -1,5 +1,5 @@
-//! The balancer's requests to its host. They are queued here, as the balancer makes them while the reducer calls it, and
-//! carried out by the reducer after that call.
+//! The balancer's requests to its host. They are queued here, as the balancer makes them while the reducer calls it,
+//! and carried out by the reducer after that call.
 
 use dewhead::host_interface::BalancerHost;
 use dewhead::refusal::Refusal;
--- a/crates/dewhead-proxy/src/reducer/clients.rs
+++ b/crates/dewhead-proxy/src/reducer/clients.rs
@@ -182,8 +182,8 @@
                 session.pings += 1;
                 session.first_line.drain(..end);
                 let more = !session.first_line.is_empty();
-                // Answered only while servers are known and no drain is in progress. Lines after it are processed
-                // either way.
+                // Answered only while servers are known and no drain, retirement or stop is in progress. Lines after it
+                // are processed either way.
                 let can_serve = !self.servers.0.is_empty() && self.draining_since.is_none();
                 if can_serve {
                     self.effects.push(Effect::Write(Endpoint::Client(key), answers::PONG.to_vec()));
--- a/crates/dewhead-proxy/src/reducer/established.rs
+++ b/crates/dewhead-proxy/src/reducer/established.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Records a message delay estimated from one source (`LINE_DELAY` or `SETUP_DELAY`). Reports the larger estimate
+    /// Records a message delay estimated from one source (`LINE_DELAY` or `SET_UP_DELAY`). Reports the larger estimate
     /// to the balancer once a second while messages are slow, and once more when they no longer are.
     pub(super) fn report_message_delay(&mut self, now: f64, leg: usize, source: usize, delay: f64) {
         let server_leg = &self.legs[leg];
--- a/crates/dewhead-proxy/src/reducer/legs.rs
+++ b/crates/dewhead-proxy/src/reducer/legs.rs
@@ -244,7 +244,8 @@
         let Some(server_leg) = self.legs.get_mut(leg) else { return };
         let key = server_leg.session;
         match server_leg.stage {
-            // The server has not received the request, so its answer is used only if it reports that the server is full.
+            // The server has not received the request, so its answer is used only if it reports that the server is
+            // full.
             LegStage::Queued | LegStage::Connecting => {
                 server_leg.answer.extend_from_slice(bytes);
                 let full = matches!(first_line_end(&server_leg.answer), Ok(Some(end)) if parse_server_message(trim_line_end(&server_leg.answer[..end])) == ServerMessage::Busy);
--- a/crates/dewhead-proxy/src/reducer/shutdown.rs
+++ b/crates/dewhead-proxy/src/reducer/shutdown.rs
@@ -8,8 +8,9 @@
 /// A stopping process is killed 0.7 s after its stop time, which is the longest guard time or, if shorter, this many
 /// seconds after the stop was requested.
 const MAX_STOP_WAIT_SECONDS: f64 = 3.0;
-/// In seconds after the stop time: when every waiting client has its answer, when all established clients are moved, and
-/// when the process exits. A retirement has its own time in place of the stop time: its spread plus the longest guard time.
+/// In seconds after the stop time: when every waiting client has its answer, when all established clients are moved,
+/// and when the process exits. A retirement has its own time in place of the stop time: its spread plus the longest
+/// guard time.
 const ANSWERS_DUE_AFTER_SECONDS: f64 = 0.4;
 const FINAL_MOVES_AFTER_SECONDS: f64 = 0.45;
 const EXIT_AFTER_SECONDS: f64 = 0.6;
@@ -34,9 +35,9 @@
         self.longest_guard_time.min(MAX_STOP_WAIT_SECONDS) + EXIT_AFTER_SECONDS
     }
 
-    /// Sets the timers and the answer deadline for an exit about this many seconds from now. Without the deadline, calls
-    /// waited for their whole guard time, 4.8 s at one site, and clients that were waiting, established or late to arrive
-    /// were cut off when the process was killed.
+    /// Sets the timers and the answer deadline for an exit about this many seconds from now. Without the deadline,
+    /// calls waited for their whole guard time, 4.8 s at one site, and clients that were waiting, established or late
+    /// to arrive were cut off when the process was killed.
     pub(super) fn schedule_exit(&mut self, now: f64, seconds: f64) {
         self.timers.set(now + ARRIVALS_AFTER_STOP_SECONDS, TimerKind::ArrivalsOver);
         self.timers.set(now + seconds + FINAL_MOVES_AFTER_SECONDS, TimerKind::FinalMoves);
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Whether the process may exit: it has no session left and no more clients arrive, or the time for its stop is over.
+    /// Whether the process may exit: it has no session left and no more clients arrive, or the time for its stop is
+    /// over.
     pub fn is_finished(&self, now: f64) -> bool {
         let arrivals_over = self.draining_since.is_some_and(|at| now >= at + ARRIVALS_AFTER_STOP_SECONDS);
         self.exit_due || (self.exits_when_empty && arrivals_over && self.sessions.is_empty())
@@ -107,7 +109,8 @@
         self.schedule_moves(now);
     }
 
-    /// The seconds over which clients are moved away where a drain's request gives none.
+    /// The seconds over which clients are moved away at a stop, and where the request for a drain or the successor's
+    /// report gives none.
     pub fn default_drain_spread(&self) -> f64 {
         0.5 * self.longest_guard_time.min(MAX_STOP_WAIT_SECONDS)
     }
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -11,25 +11,26 @@
 use log::{debug, warn};
 use std::net::SocketAddr;
 
-/// Discovery writes at least every two seconds; a watch that delivers no line for this many seconds is treated as lost. A
-/// change must be in use six seconds after discovery has it, so two attempts must fit into that time.
+/// Discovery writes at least every two seconds; a watch that delivers no line for this many seconds is treated as lost.
+/// A change must be in use six seconds after discovery has it, so two attempts must fit into that time.
 const WATCH_SILENCE_TIMEOUT_SECONDS: f64 = 2.6;
 /// Time for the first line after the request, in seconds. The local agent of discovery answers at once or is absent; an
 /// overloaded discovery answers within two seconds, and a shorter time-out would waste the work that it has begun.
 const WATCH_OPEN_TIMEOUT_SECONDS: f64 = 2.2;
-/// A first line may take `WATCH_SILENCE_TIMEOUT_SECONDS` times the number of failed attempts, at least once and at most
-/// this many times that, as a long list may arrive slowly.
+/// A first line that keeps arriving may take `WATCH_SILENCE_TIMEOUT_SECONDS` times the number of failed attempts, but
+/// at least one and at most this many times that period, as a long list may arrive slowly.
 const MAX_FIRST_LINE_PERIODS: u32 = 4;
 /// Bytes of an incomplete first line that must arrive in each `WATCH_SILENCE_TIMEOUT_SECONDS`; with fewer, discovery is
 /// assumed to have stopped writing.
 const MIN_PROGRESS_BYTES: usize = 4096;
-/// Shortest and longest interval between two requests for the watch, in seconds, both varied at random. A watch that was
-/// open, or silent, for longer than the interval is requested again at once, as a drain may have been announced
+/// Shortest and longest interval between two requests for the watch, in seconds, both varied at random. A watch that
+/// was open, or silent, for longer than the interval is requested again at once, as a drain may have been announced
 /// meanwhile.
 const WATCH_RETRY_PAUSE_SECONDS: (f64, f64) = (0.1, 0.8);
-/// Shortest and longest interval between two requests, in seconds, where discovery refuses them because it is overloaded.
-/// When a hundred proxies repeated the request every second, discovery answered none of them for the rest of the day.
-/// From the first refusal on, requests are therefore as rare as the six seconds allow in which a change must be in use.
+/// Shortest and longest interval between two requests, in seconds, where discovery refuses them because it is
+/// overloaded. When a hundred proxies repeated the request every second, discovery answered none of them for the rest
+/// of the day. From the first refusal on, requests are therefore as rare as the six seconds allow in which a change
+/// must be in use.
 const OVERLOAD_RETRY_PERIOD_SECONDS: (f64, f64) = (5.0, 5.6);
 
 /// The state of the watch on discovery.
@@ -89,8 +90,8 @@
     }
 
     /// Requests the full list from discovery at another address, at once. The version numbers of the old discovery
-    /// don't apply to the new one: compared with them, the list of a discovery with lower numbers would look outdated and
-    /// never be applied. The current list is kept until the new one arrives.
+    /// don't apply to the new one: compared with them, the list of a discovery with lower numbers would look outdated
+    /// and never be applied. The current list is kept until the new one arrives.
     pub(super) fn switch_discovery(&mut self, now: f64, discovery: SocketAddr) {
         let timer = self.watch.timer.take();
         let entries = std::mem::take(&mut self.watch.entries);
@@ -169,8 +170,8 @@
         if version < self.watch.version {
             // A restarted discovery counts from one again. When its list was ignored until it had counted past the old
             // version, servers that it drained meanwhile were still sent calls. A discovery whose list is merely
-            // outdated makes no server ready again: a draining one stays so until its process restarts or a change names
-            // it.
+            // outdated makes no server ready again: a draining one stays so until its process restarts or a change
+            // names it.
             warn!("discovery: version {version} after {}: its counter was reset", self.watch.version);
             for (listed, _) in &mut update.entries {
                 let record = self.servers.0.get(&listed.id);
@@ -216,8 +217,9 @@
         true
     }
 
-    /// Converts the start times of the entries from the wall clock, by which discovery reports them, to the process's own
-    /// clock, and returns them as they were reported. A start that was reported before keeps its earlier conversion.
+    /// Converts the start times of the entries from the wall clock, by which discovery reports them, to the process's
+    /// own clock, and returns them as they were reported. A start that was reported before keeps its earlier
+    /// conversion.
     fn convert_start_times(&self, now: f64, update: &mut ListVersion) -> Vec<Option<f64>> {
         let mut reported_starts = Vec::with_capacity(update.entries.len());
         for (listed, _) in &mut update.entries {
--- a/crates/dewhead-proxy/src/state/counters.rs
+++ b/crates/dewhead-proxy/src/state/counters.rs
@@ -15,7 +15,7 @@
     ServerEnded,
     /// The server reset it.
     ServerReset,
-    /// The final answer was sent, and the client did not close the connection in time.
+    /// The session was answered, or one side ended it, and its remaining connections were not closed in time.
     ClosingTimedOut,
     /// No first line arrived in time.
     FirstLineOverdue,
--- a/crates/dewhead-proxy/src/state/handover_state.rs
+++ b/crates/dewhead-proxy/src/state/handover_state.rs
@@ -1,5 +1,5 @@
-//! The state that a process hands over to its successor, as JSON: the server list as discovery wrote it, what was learned
-//! about each server, and how old that is.
+//! The state that a process hands over to its successor, as JSON: the server list as discovery wrote it, what was
+//! learned about each server, and how old that is.
 
 use super::set_up_latency::{SetUpLatency, TypeMeans};
 use crate::wire::server_list::ListVersion;
@@ -8,7 +8,8 @@
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 
-/// Version of the JSON form. A successor does not read any other version and then starts from the list file alone.
+/// Version of the JSON form. A successor ignores any other version and then starts from the list in its configuration
+/// (key `known`) alone.
 pub const FORMAT_VERSION: u64 = 2;
 
 /// The text of each entry of the server list, by host name. An entry is removed when the list marks its server as gone
@@ -18,8 +19,8 @@
 pub struct RawEntries(BTreeMap<String, Box<str>>);
 
 impl RawEntries {
-    /// Applies a version of the list and moves the texts of its entries out of it. `whole`: the version is the full list,
-    /// not a change.
+    /// Applies a version of the list and moves the texts of its entries out of it. `whole`: the version is the full
+    /// list, not a change.
     pub fn apply(&mut self, whole: bool, version: &mut ListVersion) {
         if whole {
             self.0.clear();
@@ -64,7 +65,8 @@
            "paces": set_up_latencies, "kinds": type_means.snapshot()})
 }
 
-/// The state that a predecessor handed over. Entries that can't be parsed are left out, as if they had not been learned.
+/// The state that a predecessor handed over. Entries that can't be parsed are left out, as if they had not been
+/// learned.
 pub struct HandoverState {
     /// When it was encoded, in seconds since 1970.
     pub encoded_at: f64,
@@ -72,9 +74,10 @@
     pub list: Value,
     /// What the balancer learned about each server.
     pub servers: Vec<ServerSnapshot>,
-    /// By server: the recent mean, the typical mean, the number of samples, and the age of the last one in seconds.
+    /// By server: the recent mean and the typical mean, both as natural logarithms of seconds, the number of samples,
+    /// and the age of the last one in seconds.
     pub set_up_latencies: BTreeMap<u64, (f64, f64, u32, f64)>,
-    /// By traffic type and last over all types: the number of samples and their mean.
+    /// By traffic type and last over all types: the number of samples, and the mean logarithm of their set-up times.
     pub type_means: Vec<(u32, f64)>,
 }
 
@@ -82,7 +85,8 @@
     value.as_u64().and_then(|n| u32::try_from(n).ok())
 }
 
-/// Decodes the state; `None` where its version is a different one.
+/// Decodes the state; `None` where its version is a different one, or where its time or one of the learned parts is
+/// missing.
 pub fn decode(encoded: &Value) -> Option<HandoverState> {
     if encoded["version"].as_u64() != Some(FORMAT_VERSION) {
         return None;
--- a/crates/dewhead-proxy/src/state/servers.rs
+++ b/crates/dewhead-proxy/src/state/servers.rs
@@ -8,7 +8,7 @@
 
 /// What is kept for one server of the list.
 pub struct ServerRecord {
-    /// Where to connect; a server that is gone may have none.
+    /// Where to connect. The list gives an address for each server that is not gone.
     pub dial: Option<SocketAddr>,
     /// Its state in the list.
     pub state: ServerState,
@@ -27,7 +27,8 @@
     pub started_by_wall_clock: Option<f64>,
     /// Statistics of its set-up times.
     pub set_up_latency: SetUpLatency,
-    /// How long a message takes here, estimated from lines and from set-ups, and when each estimate was made; in seconds.
+    /// How long a message takes here, estimated from lines and from set-ups, and when each estimate was made; in
+    /// seconds.
     pub message_delays: [(f64, f64); 2],
     /// When the message delay was last reported to the balancer, in seconds.
     pub delay_reported_at: f64,
--- a/crates/dewhead-proxy/src/state/sessions.rs
+++ b/crates/dewhead-proxy/src/state/sessions.rs
@@ -62,7 +62,8 @@
     pub unanswered_since: Option<f64>,
     /// If the client is to be sent `MOVE` once the server's current line is complete: the outcome of its leg then.
     pub pending_move: Option<LegOutcome>,
-    /// The timeout for the first line, for the server's silence, and for closing, one after the other.
+    /// The timer of the present stage: for the first line, the next attempt to restore, the server's silence, the end
+    /// of its current line, or closing.
     pub timer: Option<Timer>,
     /// The call's own timer, or the time to send `MOVE` at a stop.
     pub wake_timer: Option<Timer>,
--- a/crates/dewhead-proxy/src/state/set_up_latency.rs
+++ b/crates/dewhead-proxy/src/state/set_up_latency.rs
@@ -1,16 +1,17 @@
-//! Detects slow servers by how long they take to set up connections. On sockets, servers do not report how long a message
-//! takes, and a line that is answered immediately does not show it: set-up is the only work whose duration is visible.
+//! Detects slow servers by how long they take to set up connections. On sockets, servers do not report how long a
+//! message takes, and a line that is answered immediately does not show it: set-up is the only work whose duration is
+//! visible.
 
 /// Weight of the newest sample in the recent mean.
 const RECENT_WEIGHT: f64 = 0.25;
-/// Weight of the newest sample in the typical mean, where it is slower or faster than typical. Faster samples weigh more,
-/// so that the typical time stays near that of a server with spare capacity.
+/// Weight of the newest sample in the typical mean, where it is slower or faster than typical. Faster samples weigh
+/// more, so that the typical time stays near that of a server with spare capacity.
 const TYPICAL_WEIGHT_SLOWER: f64 = 0.01;
 const TYPICAL_WEIGHT_FASTER: f64 = 0.1;
 /// A server is judged only after this many samples.
 const MIN_SAMPLES: u32 = 6;
-/// A server is judged only once both it and this process have been running for this long, in multiples of the decay time
-/// of the recent mean.
+/// A server is judged only once both it and this process have been running for this long, in multiples of the decay
+/// time of the recent mean.
 const MIN_RUNNING_TIME: f64 = 0.5;
 /// Recent set-ups may take this many times as long as typical ones without the server being slow: ordinary variation.
 const NORMAL_RATIO: f64 = 2.0;
@@ -28,7 +29,8 @@
     last_at: f64,
 }
 
-/// By traffic type, the number of samples and the mean logarithm of their set-up times; the last entry is over all types.
+/// By traffic type, the number of samples and the mean logarithm of their set-up times; the last entry is over all
+/// types.
 pub struct TypeMeans(Vec<(u32, f64)>);
 
 impl TypeMeans {
@@ -49,8 +51,8 @@
         }
     }
 
-    /// Adds a sample of a traffic type, in seconds, and returns its logarithm less what its type differs by from the mean
-    /// over all types.
+    /// Adds a sample of a traffic type, in seconds, and returns its logarithm less what its type differs by from the
+    /// mean over all types.
     fn normalise(&mut self, traffic_type: usize, seconds: f64) -> f64 {
         let (log, all) = (seconds.max(1e-4).ln(), self.0.len() - 1);
         for index in [traffic_type.min(all), all] {
@@ -68,8 +70,8 @@
         (self.recent, self.typical, self.count, self.last_at)
     }
 
-    /// A predecessor's statistics, with the last sample `last_age` seconds before `now`; empty ones where its figures are
-    /// implausible.
+    /// A predecessor's statistics, with the last sample `last_age` seconds before `now`; empty ones where its figures
+    /// are implausible.
     pub fn restore(now: f64, (recent, typical, count, last_age): (f64, f64, u32, f64)) -> SetUpLatency {
         if [recent, typical].iter().all(|x| x.abs() < 50.0) && last_age >= 0.0 && last_age.is_finite() {
             SetUpLatency { recent, typical, count, last_at: now - last_age }
--- a/crates/dewhead-proxy/src/state/timers.rs
+++ b/crates/dewhead-proxy/src/state/timers.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-/// A handle for a running timer: its due time in microseconds and its serial number. It is made by `set` alone and is not
-/// `Clone`, so that a timer is cancelled at most once.
+/// A handle for a running timer: its due time in microseconds and its serial number. It is made by `set` alone and is
+/// not `Clone`, so that a timer is cancelled at most once.
 #[derive(Debug)]
 pub struct Timer(u64, u64);
 
--- a/crates/dewhead-proxy/src/transient.rs
+++ b/crates/dewhead-proxy/src/transient.rs
@@ -33,8 +33,8 @@
     is_transient(error) || matches!(errno, Some(Errno::IO | Errno::ADDRINUSE))
 }
 
-/// Makes a call that the process can't start without, and retries it for up to a second while its error may be temporary.
-/// Blocks.
+/// Makes a call that the process can't start without, and retries it for up to a second while its error may be
+/// temporary. Blocks.
 ///
 /// # Errors
 ///
--- a/crates/dewhead-proxy/src/wire/lines.rs
+++ b/crates/dewhead-proxy/src/wire/lines.rs
@@ -2,7 +2,7 @@
 
 /// The longest line, including its line end.
 pub const MAX_LINE_BYTES: usize = 4096;
-/// How many bytes of a line's start are kept; no more of a line is read once a call is established.
+/// How many bytes of a line's start are kept; only these are parsed once a call is established.
 const KEPT_BYTES: usize = 32;
 
 /// Finds the line ends in a stream and keeps the start of the line that is not complete yet.
@@ -19,8 +19,8 @@
         self.length == 0
     }
 
-    /// Takes further bytes. `on_line` is called for each line that ends in them, with the line's start and the number of
-    /// these bytes up to and including its end.
+    /// Takes further bytes. `on_line` is called for each line that ends in them, with the line's start and the number
+    /// of these bytes up to and including its end.
     pub fn feed(&mut self, bytes: &[u8], mut on_line: impl FnMut(&[u8], usize)) {
         let mut offset = 0;
         while let Some(piece) = bytes.get(offset..).filter(|rest| !rest.is_empty()) {
--- a/tools/cold_servers.py
+++ b/tools/cold_servers.py
@@ -2,12 +2,12 @@
 """Prints how close all proxies together came to the limit of rule 4 in a run, from their logs (RUST_LOG=trace, for the loads).
 
 usage: cold_servers.py COLD_SHARE WARM_S MULTIPLE WINDOW_S FOLDER...
-The first four come from the settings. The capacity of a server is estimated as its weight times the mean reported load. For
-each folder, prints how many legs were sent to cold servers in all; the servers that came closest to the limit,
-N + 2 sqrt(N) + 2 where N is what these figures allow in the window, each with its fraction of the limit, weight, age, legs
-sent, N and the limit; and how often each tenth of the limit was reached.
-Servers start with more capacity, and reach full capacity sooner, than the settings state: the first drops in capacity were
-observed at about 3 times this estimate.
+The first four come from the settings. The number of connections that a warm server can carry is estimated as its weight
+divided by the mean reported load. For each folder, prints how many legs were sent to cold servers in all; the servers that
+came closest to the limit, N + 2 sqrt(N) + 2 where N is what these figures allow in the window, each with its fraction of the
+limit, weight, age, legs sent, N and the limit; and how often each tenth of the limit was reached.
+Servers start with more capacity, and reach full capacity sooner, than the settings state: the first crashes of cold servers
+were observed at about 3 times this estimate.
 """
 import collections
 import glob
--- a/tools/fleet_table.py
+++ b/tools/fleet_table.py
@@ -2,8 +2,9 @@
 """Turns a directory of proxy logs (RUST_LOG=debug, or trace for loads) into a table of the whole fleet, one row per step.
 
 usage: fleet_table.py FOLDER [STEP_S] [servers|legs|story ID]
-By default the table counts requests; `servers` shows each server's requested load divided by its weight, `legs` how legs
-ended at each server, and `story` the log lines that contain ID.
+By default the table counts requests; `servers` shows the load of each server's established connections, as hinted by the
+clients or reported by the server since, divided by its weight; `legs` shows how legs ended at each server, and `story` the
+log lines that contain ID.
 """
 import collections
 import glob
