--- a/crates/dewhead-startup/src/lib.rs
+++ b/crates/dewhead-startup/src/lib.rs
@@ -53,7 +53,7 @@
     pub groups: bool,
     /// Whether the server list must be subscribed to.
     pub must_subscribe: bool,
-    /// The time within which a connection to a server must be established, in seconds.
+    /// The time within which a connection to a server must be established, in seconds; infinite if not set.
     pub connect_timeout: f64,
     /// The longest guard time of all traffic types, in seconds.
     pub longest_guard_time: f64,
@@ -122,7 +122,7 @@
         let probes = offered_load_field.is_some() && optional(limits, "probes", boolean)?.unwrap_or(false);
         let slow_start = SlowStart {
             cold_share: number(obligations, "coldShare")?,
-            // A warm-up time of 0 is valid, and times are divided by it.
+            // A warm-up time of 0 is valid. It counts as 1 ms, as times are divided by it.
             warm_after: seconds(obligations, "cold")?.max(1e-3),
             overload_multiple: number(obligations, "fallMultiple")?,
             window: seconds(obligations, "tipAfter")?,
@@ -176,7 +176,7 @@
         })
     }
 
-    /// The traffic types, in the order of their names.
+    /// The traffic types, in the same order as `names.traffic_types`.
     pub fn traffic_types(&self) -> &[TrafficType] {
         &self.traffic_types
     }
--- a/crates/dewhead-wirehost/src/actions.rs
+++ b/crates/dewhead-wirehost/src/actions.rs
@@ -17,8 +17,8 @@
     pub output: Output,
     /// The latest timer token.
     last_token: Cell<u64>,
-    /// By timer token: the call that the timer is for, or none for a timer of the balancer. An entry is removed when its
-    /// timer fires.
+    /// By timer token: the call that the timer is for, or none for a timer of the balancer. An entry is removed when
+    /// its timer fires.
     timers: RefCell<HashMap<u64, Option<u64>>>,
 }
 
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Removes a timer that has fired and returns the call that it is for; the outer `None` if this instance has no such
-    /// timer.
+    /// Removes a timer that has fired and returns the call that it is for; the outer `None` if this instance has no
+    /// such timer.
     pub fn take_timer(&self, token: u64) -> Option<Option<u64>> {
         self.timers.borrow_mut().remove(&token)
     }
@@ -59,8 +59,8 @@
 }
 
 impl BalancerHost for ActionWriter {
-    fn send_leg(&self, call: u64, server: u64, limit: f64) {
-        let limit = limit * 1000.0;
+    fn send_leg(&self, call: u64, server: u64, timeout: f64) {
+        let limit = timeout * 1000.0;
         self.action(
             "CALL_OUT",
             format_args!(",\"txn\":\"{call:016x}\",\"server\":{server},\"limit\":{limit:.3}"),
--- a/crates/dewhead-wirehost/src/main.rs
+++ b/crates/dewhead-wirehost/src/main.rs
@@ -1,5 +1,5 @@
-//! Adapter between the simulator's wire, on standard input and output, and many balancers. It only translates: each event
-//! becomes a method call on a balancer, and no decision is made here.
+//! Adapter between the simulator's wire, on standard input and output, and many balancers. It only translates: each
+//! event becomes a method call on a balancer, and no decision is made here.
 
 mod actions;
 mod host;
--- a/crates/dewhead/src/host_interface.rs
+++ b/crates/dewhead/src/host_interface.rs
@@ -6,8 +6,8 @@
 
 /// The operations that a balancer requests from the program that embeds it. All times are in seconds.
 pub trait BalancerHost {
-    /// Starts a leg of a call at a server; `limit` is the leg's time-out from now on.
-    fn send_leg(&self, call: u64, server: u64, limit: f64);
+    /// Starts a leg of a call at a server; it times out after `timeout`.
+    fn send_leg(&self, call: u64, server: u64, timeout: f64);
     /// Gives the final answer "rejected". `retry_after` is how long the client should wait before it tries again;
     /// `None` sets no wait.
     fn reject(&self, call: u64, retry_after: Option<f64>);
--- a/crates/dewhead/src/rules.rs
+++ b/crates/dewhead/src/rules.rs
@@ -1,4 +1,4 @@
-//! The decisions of the balancer: where calls are sent, when servers' limits are cut and which connections are relocated.
+//! The decisions of the balancer: where calls are sent, when server limits are cut and which connections are relocated.
 //!
 //! To use it, build the settings of `state.rs` (`ListSubscription`, `Locality`, `TenantShares`, `SlowStart`,
 //! `LegPolicy`), pass them to `Balancer::new` with a seed and the host (`host_interface.rs`), call `start` and then
@@ -73,8 +73,8 @@
 }
 
 impl Locality {
-    /// `crossing_price` is what it costs to serve a call in another zone, and `move_price` what a relocation costs, both
-    /// relative to the call's revenue.
+    /// `crossing_price` is what it costs to serve a call in another zone, and `move_price` what a relocation costs,
+    /// both relative to the call's revenue.
     pub fn new(home_zone: usize, crossing_price: f64, move_price: f64) -> Locality {
         let relocates_home = crossing_price > 4.0 * move_price;
         Locality {
@@ -85,9 +85,9 @@
         }
     }
 
-    /// `home_share` is the home zone's share of the ready servers' weight. The cost of crossing is relative to a server's
-    /// share of the whole load. Relative to its share if the home zone held everything, the cost grew as the home zone
-    /// shrank, and the home zone received all calls until it failed.
+    /// `home_share` is the home zone's share of the ready servers' weight. The cost of crossing is relative to a
+    /// server's share of the whole load. Relative to its share if the home zone held everything, the cost grew as the
+    /// home zone shrank, and the home zone received all calls until it failed.
     fn update_remote_factor(&self, home_share: f64) {
         self.remote_factor
             .set((1.0 - self.crossing_cost * home_share) / (1.0 + self.crossing_cost * (1.0 - home_share)));
@@ -164,9 +164,9 @@
         }
     }
 
-    /// Cuts the limit of an overloaded server to `factor` times its present load. If the load is far below its peak since
-    /// the last cut, the cause is more likely the set-up of many connections at once, and a limit that low would refuse
-    /// them; the limit then follows the peak. `mean_load` is the mean connection's, in nanocores.
+    /// Cuts the limit of an overloaded server to `factor` times its present load. If the load is far below its peak
+    /// since the last cut, the cause is more likely the set-up of many connections at once, and a limit that low would
+    /// refuse them; the limit then follows the peak. `mean_load` is the mean connection's, in nanocores.
     fn cut_limit(&self, now: f64, factor: f64, growth_time: f64, mean_load: f64) {
         let (load, peak_load) = (self.load.get() as f64, self.peak_load.get());
         let target = if load + 2.0 * mean_load < 0.7 * peak_load { 0.9 * peak_load } else { load * factor };
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Relocates connections from other zones, where they were placed when home was full or before this balancer started,
-    /// to the home zone while it has room: the lightest first, a hundredth of this balancer's connections at a time.
+    /// Relocates connections from other zones, placed there when home was full or before this balancer started, to the
+    /// home zone while it has room: the lightest first, a hundredth of this balancer's connections at a time.
     fn relocate_home(&self, now: f64) {
         let at = now + 0.05 * self.longest_guard;
         self.relocate_home_at.set(at);
@@ -243,8 +243,8 @@
                 && reported_load < 0.7
                 && !s.health.is_unhealthy(now, memory, 2)
         };
-        // With fewer connections than servers, a balancer can't tell whether there is room: 300 balancers judged the home
-        // zone empty and overfilled it.
+        // With fewer connections than servers, a balancer can't tell whether there is room: 300 balancers judged the
+        // home zone empty and overfilled it.
         let ready_count = servers.iter().filter(|s| s.state.get() == ServerState::Ready).count();
         let too_few_to_tell = (self.connections.get() as usize) < ready_count;
         // While calls are being refused, relocated connections would only be refused as well.
@@ -262,8 +262,9 @@
             .retain(|c| c.stage.get() == Stage::Established && now - c.accepted_at > self.longest_guard);
         remote_calls.sort_by(|a, b| a.load_in_use.get().total_cmp(&b.load_in_use.get()));
         drop(servers);
-        // Only if Eq. 1 clearly prefers the home zone. With few connections some server there always appears free, and at
-        // the full crossing cost as many connections left the home zone again as were relocated to it (experiment calm).
+        // Only if Eq. 1 clearly prefers the home zone. With few connections some server there always appears free, and
+        // at the full crossing cost as many connections left the home zone again as were relocated to it (experiment
+        // calm).
         let prefers_home = remote_calls
             .first()
             .and_then(|c| self.find_server(now, c, RELOCATE_HOME_CROSSING_SHARE))
@@ -378,8 +379,8 @@
         }
     }
 
-    /// The server by Eq. 1 among those that may be sent to now: the one with the highest R_i less its own predicted load,
-    /// at random among equals. `crossing_share` is the share of the cost of crossing zones that counts.
+    /// The server by Eq. 1 among those that may be sent to now: the one with the highest R_i less this balancer's
+    /// predicted load there, at random among equals. `crossing_share` is the share of the crossing cost that counts.
     fn find_server(&self, now: f64, call: &Call, crossing_share: f64) -> Option<Rc<Server>> {
         self.select_server(now, call, crossing_share).ok()
     }
@@ -412,8 +413,8 @@
             home_weight + (ready_weight - home_weight) * remote_factor(1.0),
         );
         near_connections += (f64::from(self.connections.get()) - near_connections) * remote_factor(1.0);
-        // A sudden rise in connections counts only gradually, over the warm-up time, as it is not yet what servers carry.
-        // A balancer that has just started counts its returning connections at once: otherwise no balancer had a
+        // A sudden rise in connections counts only gradually, over the warm-up time, as it is not yet what servers
+        // carry. A balancer that has just started counts its returning connections at once: otherwise no balancer had a
         // share by which to fill new servers during a rolling restart.
         let (connections_per_weight, previous) =
             (near_connections / f64::max(near_weight, f64::MIN_POSITIVE), self.connections_per_weight.get());
@@ -423,8 +424,8 @@
             if just_started { 0.0 } else { (connections_per_weight - previous).max(0.0) * (-elapsed).exp() };
         self.connections_per_weight.set(connections_per_weight - uncounted_rise);
         self.peak_near_weight.set(self.peak_near_weight.get().max(near_weight));
-        // Where weights follow load, a weight is the server's size over one more than its load per core. Occupancy is how
-        // much more load a server has than the emptiest one, and is compared with the mean over all servers. Every
+        // Where weights follow load, a weight is the server's size over one more than its load per core. Occupancy is
+        // how much more load a server has than the emptiest one, and is compared with the mean over all servers. Every
         // balancer receives the same weights, so they show load that one balancer with few connections can't see.
         let occupancy = |server: &Server| highest_weight / server.weight.get().max(f64::MIN_POSITIVE) - 1.0;
         let mean_occupancy =
@@ -440,7 +441,7 @@
         let (legs, group_share) = (call.legs.borrow(), self.group_share(call));
         let (mut best, mut ties): (Option<(f64, &Rc<Server>)>, f64) = (None, 0.0);
         let (mut fallback, mut unhealthy_weight, mut reports) = (None::<(f64, &Rc<Server>)>, 0.0, (0.0, 0.0));
-        // If most servers appear unhealthy, the fault may be on this side, and one of them is used if there is no other.
+        // If most servers appear unhealthy, the fault may be on this side, and one of them is used if no other is left.
         let suspect_own_side = self.unhealthy_share.get() > 0.5;
         for server in servers.iter() {
             if server.state.get() != ServerState::Ready {
@@ -459,8 +460,8 @@
             let limit = server.limit(now, growth_time);
             // A server at its limit is sent nothing: an overloaded server drops connections, and the clients that come
             // back keep it overloaded. A server with unknown load is as likely to be overloaded as those with known
-            // load in its zone; if it were always used, each balancer would fill servers that the others have closed. One
-            // that has just started is not affected, as no balancer has filled it (ic788f7).
+            // load in its zone; if it were always used, each balancer of a large fleet would fill servers that the
+            // others have closed. One that has just started is not affected, as no balancer has filled it (ic788f7).
             let zone = &self.zones[(server.zone as usize).min(self.zones.len() - 1)];
             let queue_full = now < server.full_until.get();
             let closed =
@@ -565,7 +566,7 @@
     }
 
     /// The cost of serving the call's group at a server where this balancer has none of it. All balancers rank the
-    /// servers alike for a group, so that its calls go to the same few, and to large ones more often.
+    /// servers alike for a group, so that its calls go to the same few, and to large ones proportionally more often.
     fn server_group_cost(&self, call: &Call, server: &Server, mean_load: f64, group_share: f64) -> f64 {
         match call.request.group {
             Some(group)
@@ -583,7 +584,8 @@
     }
 
     /// Handles an overloaded server: cuts its limit to `factor` times its load and relocates the connections beyond it,
-    /// whose clients connect again where there is room. Relocates at most a quarter of them per settling time.
+    /// whose clients connect again where there is room. Relocates at most a quarter of this balancer's connections
+    /// there per settling time.
     fn on_overload(&self, now: f64, server: &Rc<Server>, factor: f64) {
         if now - server.limit_cut_at.get() < CUT_SETTLE_TIME * self.longest_guard
             && server.limit.get().is_finite()
@@ -612,8 +614,8 @@
         let forced = server.message_delay.get().0 > FORCED_RELOCATION_DELAY * self.shortest_message_target;
         for (index, call) in established.iter().enumerate() {
             let load = call.load_in_use.get() * call.share_in_use.get() * NANOCORES_PER_CORE;
-            // With few connections, each may be larger than the excess. The lightest is then relocated with a probability
-            // of the excess over its load, so that a server does not stay overloaded because each of many balancers holds
+            // With few connections, each may be larger than the excess. The lightest is then relocated with the
+            // probability excess / load, so that a server does not stay overloaded because each of many balancers holds
             // only little of its load.
             let last_resort = index + 1 == established.len() && moves == 0 && self.random() * load < excess;
             if moves < max_moves
@@ -713,30 +715,30 @@
         let TrafficType { idempotency, setup_target, .. } = balancer.traffic_types[self.request.traffic_type];
         let target_left = self.accepted_at + setup_target - now;
         let last = sent + 1 == balancer.leg_policy.max_legs;
-        // A leg leaves time for a further one before the setup target, or if that has passed before the deadline.
-        let limit = match () {
+        // A leg leaves time for a further one before the setup target or, if that has passed, before the deadline.
+        let timeout = match () {
             () if last || balancer.shared_fault(now) => time_left,
             () if target_left > 0.0 => (target_left / 2.0).max(time_left / 8.0).min(time_left),
             () => (time_left / 2.0).max(time_left.min(target_left.abs())),
         };
         if balancer.leg_policy.two_at_once
             && idempotency == Idempotency::Repeatable
-            && limit < time_left
+            && timeout < time_left
             && sent == 0
         {
             // Where two legs may be active, the first continues when the second starts.
             balancer.host.send_leg(self.id, server.id, time_left);
-            self.set_timer(now + limit);
+            self.set_timer(now + timeout);
         } else {
-            balancer.host.send_leg(self.id, server.id, limit);
+            balancer.host.send_leg(self.id, server.id, timeout);
         }
         balancer.record_sent(now, &server, self.load_in_use.get());
         self.add_leg(now, server);
         Ok(())
     }
 
-    /// Requests the server's load, once per call, if no recent report of it exists and there is time. Returns whether the
-    /// call waits for the answer.
+    /// Requests the server's load, once per call, if no recent report of it exists and there is time. Returns whether
+    /// the call waits for the answer.
     fn start_probe(self: &Rc<Self>, now: f64, server: &Rc<Server>) -> bool {
         let balancer = &self.balancer;
         let report_is_fresh = server
@@ -836,7 +838,7 @@
         self.stage.get() == Stage::Finished && !self.legs.borrow().iter().any(|l| l.active)
     }
 
-    /// Handles the establishment of the connection on `leg`. Another leg that is still active is cancelled.
+    /// Handles the establishment of the connection on `leg`. Another active leg is cancelled, if legs can be cancelled.
     pub fn on_established(&self, now: f64, leg: usize) {
         if self.stage.get() == Stage::Pending {
             self.stage.set(Stage::Established);
@@ -875,8 +877,8 @@
     pub fn on_message_delay(&self, now: f64, leg: usize, delay: f64) {
         let Some(server) = self.legs.borrow().get(leg).map(|l| l.server.clone()) else { return };
         let balancer = &self.balancer;
-        // The delay of messages is a server's backlog, which grows by the load beyond its capacity. Before the first report
-        // the delay was too short to be reported; it is assumed to have been zero one second earlier.
+        // The delay of messages is a server's backlog, which grows by the load beyond its capacity. Without a report in
+        // the last 2.5 s, the delay was too short to be reported; it is assumed to have been zero one second earlier.
         let (previous, at) = server.message_delay.replace((delay, now));
         let slope = match now - at {
             elapsed if elapsed > 0.0 && elapsed < 2.5 => (delay - previous) / elapsed,
@@ -950,8 +952,8 @@
         self.stage.set(Stage::Finished);
     }
 
-    /// Handles the call's timer: ends the wait for a probe, or starts a second leg, where two may be active, if the first
-    /// takes long.
+    /// Handles the call's timer: ends the wait for a probe, or starts a second leg, where two may be active, if the
+    /// first takes long.
     pub fn on_timer(self: &Rc<Self>, now: f64) {
         // The timer of a probe that has been answered must not start a second leg.
         if now + TIMER_TOLERANCE < self.timer_due_at.get() {
--- a/crates/dewhead/src/slow_start.rs
+++ b/crates/dewhead/src/slow_start.rs
@@ -1,24 +1,24 @@
-//! Slow start (rule 4): limits what all balancers together send to a server that has just started. Each balancer has its
-//! own budget, and the budgets add up to what the settings allow. Beyond the budgets, the balancers take turns.
+//! Slow start (rule 4): limits what all balancers together send to a server that has just started. Each balancer has
+//! its own budget, and the budgets add up to what the settings allow. Beyond the budgets, the balancers take turns.
 
 use crate::state::{Balancer, Server, SlowStart};
 use oorandom::Rand64;
 
 /// The cap on what all balancers together send to a server in a window, in multiples of the number of calls that the
 /// settings allow. The budget counts a connection's whole load as if it arrived within the warm-up, although the
-/// connection adds it over its whole life, so the budget overstates what reaches the server. That is why up to twice the
-/// allowed number is sent where that number is small.
+/// connection adds it over its whole life, so the budget overstates what reaches the server. That is why up to twice
+/// the allowed number is sent where that number is small.
 const MAX_BUDGET_MULTIPLE: f64 = 2.0;
 /// The excess over the allowed number of calls in a window that rule 4 attributes to chance, in square roots of that
 /// number. The rule tolerates two calls more, which the balancers send by turns.
 const CHANCE_ALLOWANCE_ROOTS: f64 = 2.0;
-/// The golden ratio's fractional part. The fractional parts of its multiples are spread evenly from 0 to 1, however many
-/// there are.
+/// The golden ratio's fractional part. The fractional parts of its multiples are spread evenly from 0 to 1, however
+/// many there are.
 pub(crate) const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
 impl SlowStart {
-    /// The share of its full capacity that a server has at this age: the cold share at the start, 1 when warm, and linear
-    /// between the two.
+    /// The share of its full capacity that a server has at this age: the cold share at the start, 1 when warm, and
+    /// linear between the two.
     fn capacity_share(&self, age: f64) -> f64 {
         self.cold_share + (1.0 - self.cold_share) * (age / self.warm_after).clamp(0.0, 1.0)
     }
@@ -27,11 +27,11 @@
 impl Balancer {
     /// Rule 4: whether this balancer may send a call to a cold server now.
     ///
-    /// This balancer's part of a server is the server's size times this balancer's connections per weight, in which other
-    /// zones count as in R_i, or times its part of the tenants' quotas per weight if that is more: a balancer that was
-    /// killed, or whose servers were lost, has no connections. The server is filled with that part over its warm-up. The
-    /// budget grows at this rate, multiplied by the present capacity share, the overload multiple and the allowance for
-    /// chance. Beyond the budget, the balancers take turns.
+    /// This balancer's part of a server is the server's size times this balancer's connections per weight, in which
+    /// other zones count as in R_i, or times its part of the tenants' quotas per weight if that is more: a balancer
+    /// that was killed, or whose servers were lost, has no connections. The server is filled with that part over its
+    /// warm-up. The budget grows at this rate, multiplied by the present capacity share, the overload multiple and the
+    /// allowance for chance. Beyond the budget, the balancers take turns.
     pub(crate) fn within_slow_start_budget(&self, now: f64, server: &Server, age: f64) -> bool {
         let allowed = self.allowed_per_window(server, age);
         let rate = self.budget_per_window(allowed) / self.slow_start.window;
@@ -64,8 +64,8 @@
     }
 
     /// The number of calls that this balancer may send in a window: its part of the number for all balancers, which is
-    /// what the settings allow plus `CHANCE_ALLOWANCE_ROOTS` square roots of that. A constant multiple exceeded the limit
-    /// where dozens of calls are allowed, as the square root is a small part of such a number.
+    /// what the settings allow plus `CHANCE_ALLOWANCE_ROOTS` square roots of that. A constant multiple exceeded the
+    /// limit where dozens of calls are allowed, as the square root is a small part of such a number.
     fn budget_per_window(&self, allowed: f64) -> f64 {
         let allowed_for_all = (self.balancer_count * allowed).max(f64::MIN_POSITIVE);
         let multiple = (1.0 + CHANCE_ALLOWANCE_ROOTS / allowed_for_all.sqrt()).min(MAX_BUDGET_MULTIPLE);
--- a/crates/dewhead/src/snapshot.rs
+++ b/crates/dewhead/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! What a balancer has learned of its servers, in a form that can be handed to a successor. Every item carries its age and
-//! expires at the successor by the same rules as here; what is too old to be used is left out.
+//! What a balancer has learned of its servers, in a form that can be handed to a successor. Every item carries its age
+//! and expires at the successor by the same rules as here; what is too old to be used is left out.
 
 use crate::state::{Balancer, Server};
 use std::rc::Rc;
@@ -9,8 +9,8 @@
 pub struct ServerSnapshot {
     /// The server's id.
     pub server: u64,
-    /// When the server's process started, `None` if long ago. The snapshot does not apply to a process with another start
-    /// time.
+    /// When the server's process started, `None` if long ago. The snapshot does not apply to a process with another
+    /// start time.
     pub started: Option<f64>,
     /// The limit as it was cut, in standard cores, and its age.
     pub limit: Option<(f64, f64)>,
--- a/crates/dewhead/src/state.rs
+++ b/crates/dewhead/src/state.rs
@@ -1,5 +1,5 @@
-//! The data that a balancer keeps: its settings, its servers, its calls and the balancer itself. The decisions over this
-//! data are in `rules` and `slow_start`.
+//! The data that a balancer keeps: its settings, its servers, its calls and the balancer itself. The decisions over
+//! this data are in `rules` and `slow_start`.
 
 use crate::host_interface::BalancerHost;
 use crate::types::{CallRequest, ServerEntry, ServerState, Tenant, TrafficType};
@@ -87,8 +87,8 @@
     pub max_retry_after: Option<f64>,
 }
 
-/// What this balancer keeps for one server. The fields that every selection reads come first, so that a pass over a large
-/// fleet touches few cache lines.
+/// What this balancer keeps for one server. The fields that every selection reads come first, so that a pass over a
+/// large fleet touches few cache lines.
 #[repr(C)]
 pub(crate) struct Server {
     pub(crate) state: Cell<ServerState>,
@@ -103,8 +103,8 @@
     pub(crate) limit_cut_at: Cell<f64>,
     /// The time of the first, and the number, of this balancer's connections that broke here in short succession.
     pub(crate) recent_breaks: Cell<(f64, u32)>,
-    /// The point from 0 to 1 at which this balancer rounds its part of the server up to a whole connection; those of the
-    /// other balancers are spread evenly.
+    /// The point from 0 to 1 at which this balancer rounds its part of the server up to a whole connection; those of
+    /// the other balancers are spread evenly.
     pub(crate) rounding_offset: f64,
     /// Until when no call is sent here, because the server's queue was full.
     pub(crate) full_until: Cell<f64>,
@@ -240,16 +240,16 @@
     pub(crate) may_have_run: Cell<Option<(u32, u64, f64)>>,
     /// The leg that carries the established connection.
     pub(crate) established_leg: Cell<usize>,
-    /// r_j: the connection's load while it is in use, in cores.
+    /// r_j: the connection's load in cores, smoothed over all reports as in Eq. 2; it falls while there is no load.
     pub(crate) load_in_use: Cell<f64>,
-    /// p_j: the share of time for which the connection is in use, 0 to 1.
+    /// p_j: the share of time for which the connection is in use, smoothed likewise, 0 to 1.
     pub(crate) share_in_use: Cell<f64>,
     pub(crate) load_updated_at: Cell<f64>,
 }
 
 impl Call {
-    /// Moves the deadline to `deadline` if that is earlier. The process can't wait longer than that, however long the
-    /// client would wait.
+    /// Moves the deadline to `deadline`, in seconds on the clock of the calls, if that is earlier. The process can't
+    /// wait longer than that, however long the client would wait.
     pub fn limit_deadline(&self, deadline: f64) {
         self.deadline.set(self.deadline.get().min(deadline));
     }
--- a/crates/dewhead/tests/common/mod.rs
+++ b/crates/dewhead/tests/common/mod.rs
@@ -57,14 +57,14 @@
 }
 
 impl BalancerHost for CheckingHost {
-    fn send_leg(&self, call: u64, server: u64, limit: f64) {
+    fn send_leg(&self, call: u64, server: u64, timeout: f64) {
         let now = self.now.get();
         let mut records = self.records.borrow_mut();
         let record = records.get_mut(&call).expect("the call has been accepted");
         let listed = self.listed.borrow();
         let target = &listed[&server];
         assert!(record.answers == 0 && !record.established, "rule 1: a leg after the answer");
-        assert!(now < record.deadline && limit > 0.0, "rule 1: a leg after the guard time");
+        assert!(now < record.deadline && timeout > 0.0, "rule 1: a leg after the guard time");
         assert!((record.legs.len() as u32) < self.max_legs.get(), "too many legs");
         let active = record.legs.iter().filter(|l| l.outcome.is_none()).count();
         assert!(active == 0 || (active == 1 && self.two_at_once.get()), "rule 2: two legs at once");
@@ -86,7 +86,7 @@
             }
         }
         assert_eq!(target.state, ServerState::Ready, "rule 3: sent to a server that is draining or gone");
-        record.legs.push(SentLeg { server, sent_at: now, times_out_at: now + limit, outcome: None });
+        record.legs.push(SentLeg { server, sent_at: now, times_out_at: now + timeout, outcome: None });
     }
 
     fn reject(&self, call: u64, _: Option<f64>) {
--- a/crates/dewhead/tests/release.rs
+++ b/crates/dewhead/tests/release.rs
@@ -1,5 +1,5 @@
-//! Simulates whole fleets of balancers during a rolling release of their servers, and checks what all balancers together
-//! send to the cold servers.
+//! Simulates whole fleets of balancers during a rolling release of their servers, and checks what all balancers
+//! together send to the cold servers.
 
 mod fleet;
 
--- a/crates/dewhead/tests/rules.rs
+++ b/crates/dewhead/tests/rules.rs
@@ -451,7 +451,8 @@
 
 #[test]
 fn servers_with_unknown_load_are_assumed_as_full_as_their_zone() {
-    // What all known servers of a zone were closed to was sent to the unknown ones there (tallinn enlarged, big-1).
+    // Calls for which all known servers of a zone were closed were sent to the unknown ones there (tallinn enlarged,
+    // big-1).
     let (mut on_unknown, mut in_other_zone, mut new_server_used) = (0, 0, 0);
     for seed in 0..10 {
         let mut fixture =
@@ -814,9 +815,9 @@
     }
 }
 
-/// If a store on which all servers depend is slow, or the set-up of a burst, no leg is answered in time. Legs cut off
-/// at half of the setup target were wasted work, and five times as many (ktm-ingest, a burst at full size, G: 0.39, and
-/// 0.70 with one leg).
+/// If a store on which all servers depend is slow, or a burst makes set-ups slow, no leg is answered in time. Legs cut
+/// off at half of the setup target were wasted work, and five times as many (ktm-ingest, a burst at full size, G: 0.39,
+/// and 0.70 with one leg).
 #[test]
 fn call_has_one_leg_with_all_the_guard_time_while_set_ups_fail_everywhere() {
     let mut fixture = fixture_with_connections(7, &equal_servers(12, 1.0), 0, false);
@@ -971,8 +972,8 @@
 fn tenant_quotas_set_the_slow_start_budget_where_connections_are_few() {
     let mut sent = 0;
     for seed in 0..40 {
-        // The tenants' quotas are 80 connections over 4 balancers, which is 6 per server and balancer. This balancer has
-        // two in all.
+        // The tenants' quotas are 80 connections over 4 balancers, which is 6 per server and balancer. This balancer
+        // has two in all.
         let mut fixture = fixture_with_connections(seed, &equal_servers(3, 1.0), 0, false);
         let mut open_calls = std::collections::VecDeque::new();
         for step in -40..32 {
