--- a/crates/dewhead/src/rules.rs
+++ b/crates/dewhead/src/rules.rs
@@ -46,7 +46,8 @@
 const NEW_GROUP_COST: f64 = 2.0;
 /// The cost of a server of mean occupancy, in mean connections, where weights or probes reveal the occupancy.
 const OCCUPANCY_COST: f64 = 2.0;
-/// The lowest mean occupancy that servers are compared with, as load per core beyond that of the emptiest server.
+/// The lowest mean that servers are compared with: of occupancy, as load per core beyond that of the emptiest server,
+/// and of reported load, relative to capacity.
 const MIN_MEAN_OCCUPANCY: f64 = 0.1;
 /// How long a load report makes a probe unnecessary, in multiples of the longest guard time.
 const REPORT_FRESH_TIME: f64 = 0.5;
