--- a/crates/dewhead-lab/src/baseline.rs
+++ b/crates/dewhead-lab/src/baseline.rs
@@ -103,7 +103,8 @@
     first_possible_run: Option<(usize, u64, f64)>,
     /// When the oldest client line without a reply from the server was received.
     unanswered_since: Option<f64>,
-    /// The load that the server last reported for this connection, in cores.
+    /// The load that the server last reported for this connection, or before that the client's hint, in standard
+    /// cores.
     load: f64,
     server_lines: LineScanner,
     /// Whether the client is moved at the next end of a server line.
@@ -693,7 +694,7 @@
         self.sessions.get(key).is_some_and(|s| s.leg == Some(leg))
     }
 
-    /// Schedules the move of a client after a stop, at a random time within half of the maximum guard time.
+    /// Schedules the move of a client after a stop: 0.6 s after it plus a random part of half the maximum guard time.
     fn schedule_move_for_stop(&mut self, key: usize, stop: f64) {
         let at = stop + 0.6 + 0.5 * self.max_guard_time * self.random.rand_float();
         self.schedule(at, Timer::MoveForStop(key, self.sessions[key].session_id));
--- a/crates/dewhead-lab/src/commands/mod.rs
+++ b/crates/dewhead-lab/src/commands/mod.rs
@@ -40,7 +40,7 @@
 }
 
 /// Runs the sub-command given on the command line. Returns the exit code: 0 for success, 2 if a command found a
-/// violation, 1 for an error.
+/// violation or, for `scale`, if the cost models don't predict the largest run, 1 for an error.
 pub fn run_command_line() -> i32 {
     let command_line: CommandLine = argh::from_env();
     let outcome = match command_line.command {
--- a/crates/dewhead-lab/src/commands/soak.rs
+++ b/crates/dewhead-lab/src/commands/soak.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 
 /// Run real proxies under two or three overlapping troubles and failing system calls, drawn for each seed. Exit code 2
-/// if a rule was violated, a proxy's own checks reported a violation, or a process panicked.
+/// if a rule was violated, a proxy's own checks reported a violation, or a process panicked or exited with an error.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "soak")]
 pub struct Soak {
--- a/crates/dewhead-lab/src/hunt.rs
+++ b/crates/dewhead-lab/src/hunt.rs
@@ -95,7 +95,8 @@
     }
 }
 
-/// Draws a scenario that differs from this one in one trouble: added, removed, replaced, or moved in time.
+/// Draws a scenario that differs from this one in one trouble: added, removed, replaced, or given another
+/// start and duration.
 fn mutate(experiment: &Experiment, random: &mut RandomStream) -> Experiment {
     let mut experiment = experiment.clone();
     let trouble_count = experiment.troubles.len();
@@ -241,7 +242,7 @@
 }
 
 /// The size of a scenario, which `shrink` minimises: mainly the number of troubles, then their durations,
-/// magnitudes and fractions.
+/// magnitudes and fractions, and the utilisation.
 fn scenario_size(experiment: &Experiment) -> f64 {
     let sizes = experiment.troubles.iter().map(|t| 10.0 + 0.1 * t.duration + 0.1 * t.magnitude + t.fraction);
     sizes.sum::<f64>() + experiment.load.utilisation
--- a/crates/dewhead-lab/src/policy.rs
+++ b/crates/dewhead-lab/src/policy.rs
@@ -37,9 +37,10 @@
     pub up: bool,
     /// The index of the node's zone.
     pub zone: usize,
-    /// How much load the node can serve now, in cores.
+    /// How much load the node can serve now, in standard cores.
     pub capacity: f64,
-    /// The load of established connections and of those being set up, in cores.
+    /// The load of the established connections, in standard cores. A proxy adds that of a connection it places, until
+    /// the next snapshot.
     pub load: f64,
     /// How long new work waits in the node's queue, in seconds.
     pub queueing_delay: f64,
--- a/crates/dewhead-lab/src/report.rs
+++ b/crates/dewhead-lab/src/report.rs
@@ -18,7 +18,7 @@
     pub proxy_name: String,
     /// `simulated` or `sockets`.
     pub host: String,
-    /// Service metrics of the whole run.
+    /// Service metrics; the shares are those from the time at which the service has settled.
     pub outcome: ReportedOutcome,
     /// Violations of the proxies' rules that the auditor found.
     #[serde(rename = "breaches")]
--- a/crates/dewhead-lab/src/runs.rs
+++ b/crates/dewhead-lab/src/runs.rs
@@ -39,7 +39,7 @@
     pub proxy_name: String,
     /// `simulated` or `sockets`.
     pub host: &'static str,
-    /// Service metrics of the whole run.
+    /// Service metrics; the shares are those from the time at which the service has settled.
     pub outcome: Outcome,
     /// Violations of the proxies' rules that the auditor found.
     #[serde(rename = "breaches")]
--- a/crates/dewhead-lab/src/scale/capacity.rs
+++ b/crates/dewhead-lab/src/scale/capacity.rs
@@ -330,7 +330,8 @@
     Ok(rows)
 }
 
-/// The table, followed by the rows that change by more than 5 % over the range of the assumed number of servers.
+/// The table, followed by the rows with a limit that change by more than 5 % over the range of the assumed number of
+/// servers.
 pub fn capacity_table(results_text: &str, targets_text: &str) -> Result<String, String> {
     let (results, targets) = (parse_results(results_text)?, parse_targets(targets_text)?);
     let mut text = String::from("| role | what | formula (± standard error) | at full size | limit | value over limit | carried by |\n| --- | --- | --- | --- | --- | --- | --- |\n");
--- a/crates/dewhead-lab/src/scale/run.rs
+++ b/crates/dewhead-lab/src/scale/run.rs
@@ -14,7 +14,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// A run in which timers were checked later than this is marked, because its times are unreliable.
+/// A run in which timers were checked, or the list was changed, later than this is marked, because its times are
+/// unreliable.
 const MAX_LATENESS_SECONDS: f64 = 0.1;
 /// Duration of the outage in [`Trouble::DiscoveryAway`].
 const DISCOVERY_OUTAGE_SECONDS: f64 = 8.0;
--- a/crates/dewhead-lab/src/simulated.rs
+++ b/crates/dewhead-lab/src/simulated.rs
@@ -129,12 +129,12 @@
     SocketAddr::from(([10, 1, (node >> 8) as u8, node as u8], 8081))
 }
 
-/// The address of a discovery agent in simulated time.
-fn agent_address(agent: usize) -> SocketAddr {
-    SocketAddr::from(([10, 2, (agent >> 8) as u8, agent as u8], 8500))
+/// The address in simulated time that stands for a discovery agent's address of this index.
+fn agent_address(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 2, (index >> 8) as u8, index as u8], 8500))
 }
 
-/// The index of a node, or of a discovery agent, from its address.
+/// The index of a node, or of one of a discovery agent's addresses, from the address.
 fn address_index(address: SocketAddr) -> usize {
     match address.ip() {
         std::net::IpAddr::V4(ip) => {
@@ -246,7 +246,7 @@
                     self.deliver(process, clock, Event::Stop, &[]);
                 }
             }
-            // The configuration never changes in simulated time.
+            // The configuration is unchanged, so that there is nothing to reload; a new one comes with `Reconfigure`.
             world::Effect::Signal(_, Signal::Reload) => {}
             world::Effect::Signal(proxy_index, Signal::Kill) => {
                 self.current[proxy_index] = None;
@@ -320,7 +320,7 @@
         self.links.get(key).copied()
     }
 
-    /// Like `owner_of`, for a link that the world has already released.
+    /// Removes a link that the world has already released, and returns what `owner_of` does.
     fn remove_refused(&mut self, key: LinkKey) -> Option<(usize, LinkEnd)> {
         self.links.remove(key)
     }
--- a/crates/dewhead-lab/src/soak.rs
+++ b/crates/dewhead-lab/src/soak.rs
@@ -155,8 +155,8 @@
     }
 }
 
-/// Draws the failing system calls. Each kind of failure occurs in half of the scenarios, so that their combinations
-/// vary.
+/// Draws the failing system calls. Each kind of failing call occurs in half of the scenarios and a clock step in two
+/// thirds, so that their combinations vary.
 fn draw_fault_plan(random: &mut RandomStream, seed: u64, earliest: f64) -> Plan {
     let probability = |random: &mut RandomStream, max: f64| {
         let occurs = random.uniform_in([0.0, 1.0]) < 0.5;
--- a/crates/dewhead-lab/src/sockets.rs
+++ b/crates/dewhead-lab/src/sockets.rs
@@ -75,7 +75,7 @@
     pub proxy_binary: PathBuf,
     /// The folder for the processes' logs; `None` discards them.
     pub log_dir: Option<PathBuf>,
-    /// System calls that fail in the proxies' processes.
+    /// System calls that fail in the proxies' processes; `None` for no failures.
     pub faults: Option<FaultInjection>,
 }
 
--- a/crates/dewhead-world/src/audit.rs
+++ b/crates/dewhead-world/src/audit.rs
@@ -57,7 +57,8 @@
     buffered: VecDeque<u8>,
     /// Whether the bytes forwarded so far end within a line.
     mid_line: bool,
-    /// Since when the buffer has not been empty.
+    /// When the oldest wait for the buffered bytes began: when the first of them arrived, or when others were last
+    /// forwarded. `None` while nothing counts as held back.
     buffered_since: Option<f64>,
 }
 
@@ -761,7 +762,7 @@
         }
     }
 
-    /// Reports legs that have overlapped for longer than `observation_slack`.
+    /// Reports legs that have overlapped for at least `observation_slack`.
     fn resolve_overlaps(&mut self, now: f64) {
         let slack = self.observation_slack;
         let mut violations_found = Vec::new();
@@ -1039,8 +1040,8 @@
         }
     }
 
-    /// A cold node has crashed from overload. If two thirds of its load came from proxies that had been informed
-    /// of its start, this reports the one of them that sent the largest connection.
+    /// A cold node has crashed from overload. If at least two thirds of its load came from proxies that had been
+    /// informed of its start, this reports the one of them that sent the largest connection.
     pub(crate) fn on_node_crash(
         &mut self,
         now: f64,
@@ -1099,7 +1100,7 @@
                 violations_found.push((
                     *id,
                     Rule::NoCut,
-                    "its server has ended the connection, and the client was neither ended nor moved",
+                    "its server has ended the connection, and the client was neither disconnected nor moved",
                 ));
                 call.server_ended_at = None;
             }
--- a/crates/dewhead-world/src/clients.rs
+++ b/crates/dewhead-world/src/clients.rs
@@ -397,7 +397,7 @@
         self.set_client_timer(key, at);
     }
 
-    /// Schedules a reconnect after a broken connection or a move, with a full number of retries.
+    /// Schedules a reconnect after a broken connection or a move, with new retries and a new deadline.
     pub(crate) fn schedule_reconnect(&mut self, now: f64, key: ClientKey, moved: bool) {
         if moved {
             self.service.counts.moved += 1;
--- a/crates/dewhead-world/src/experiment.rs
+++ b/crates/dewhead-world/src/experiment.rs
@@ -19,7 +19,7 @@
     /// What the experiment shows, in a sentence.
     #[serde(rename = "about")]
     pub description: String,
-    /// Duration in simulated time, in seconds.
+    /// Duration of a run, in seconds.
     pub seconds: f64,
     /// Seeds to run if none are given on the command line.
     pub seeds: Vec<u64>,
@@ -123,7 +123,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Mean load of the established connections, as a fraction of the fleet's capacity.
+    /// Mean load of all connections that clients ask for, as a fraction of the fleet's capacity; above 1 it exceeds
+    /// the capacity.
     pub utilisation: f64,
     /// Amplitude of the periodic variation of the arrival rate, as a fraction of its mean.
     pub swing: f64,
@@ -152,7 +153,7 @@
     pub window: f64,
     /// For referenced calls: the servers that share the remembered references.
     pub scope: Scope,
-    /// Mean load of a connection, in standard cores.
+    /// Mean load of a connection while it is not idle, in standard cores.
     pub load: f64,
     /// Standard deviation of the logarithm of the load, between clients.
     pub load_sigma: f64,
@@ -665,7 +666,7 @@
             require(
                 machine.speed[0] > 0.0 && machine.speed[1] >= machine.speed[0],
                 &key("speed"),
-                "must be two increasing numbers greater than 0",
+                "must be two numbers greater than 0, the second not less than the first",
             )?;
             require(machine.cold_share[0] > 0.0, &key("cold_share"), "must be greater than 0")?;
         }
--- a/crates/dewhead-world/src/troubles/bad_clients.rs
+++ b/crates/dewhead-world/src/troubles/bad_clients.rs
@@ -8,7 +8,7 @@
 /// The kind of trouble that this module implements.
 pub const KIND: TroubleKind = TroubleKind {
     name: "bad-clients",
-    description: "'size' clients per second send no valid request for 'lasts' seconds",
+    description: "for 'lasts' seconds, 'size' clients per second connect without sending a valid request",
     on_stage,
 };
 
--- a/crates/dewhead-world/src/world.rs
+++ b/crates/dewhead-world/src/world.rs
@@ -192,7 +192,7 @@
     StartProxy(usize),
     /// The front layer sends `PING` to a proxy.
     FrontPing(usize),
-    /// The front layer notices the end of a proxy's process of this start count.
+    /// The front layer notices that a proxy's process of this start count is stopping or has ended.
     FrontRemoves(usize, u64),
     /// A trouble reaches this stage.
     Trouble(usize, u32),
