--- a/crates/dewhead/src/rules.rs
+++ b/crates/dewhead/src/rules.rs
@@ -261,7 +261,7 @@
         }
         remote_calls
             .retain(|c| c.stage.get() == Stage::Established && now - c.accepted_at > self.longest_guard);
-        remote_calls.sort_by(|a, b| a.load_in_use.get().total_cmp(&b.load_in_use.get()));
+        remote_calls.sort_by(|a, b| a.smoothed_load.get().total_cmp(&b.smoothed_load.get()));
         drop(servers);
         // Only if Eq. 1 clearly prefers the home zone. With few connections some server there always appears free, and
         // at the full crossing cost as many connections left the home zone again as were relocated to it (experiment
@@ -364,8 +364,8 @@
             legs: RefCell::new(Vec::new()),
             may_have_run: Cell::new(None),
             established_leg: Cell::new(0),
-            load_in_use: Cell::new(load),
-            share_in_use: Cell::new(1.0),
+            smoothed_load: Cell::new(load),
+            smoothed_busy_share: Cell::new(1.0),
             load_updated_at: Cell::new(now),
             awaits_probe: Cell::new(None),
             timer_due_at: Cell::new(f64::INFINITY),
@@ -434,7 +434,7 @@
         let load_per_weight = total_load / effective_weight.max(f64::MIN_POSITIVE);
         let mean_share = load_per_weight * ready_weight / f64::max(ready_count, 1.0);
         let (mean_load, call_load) =
-            (self.mean_load() * NANOCORES_PER_CORE, call.load_in_use.get() * NANOCORES_PER_CORE);
+            (self.mean_load() * NANOCORES_PER_CORE, call.smoothed_load.get() * NANOCORES_PER_CORE);
         let growth_time = LIMIT_GROWTH_TIME * self.longest_guard;
         // Calls beyond their tenant's quota are refused earlier, so that the other tenants keep theirs in a shortage.
         let usable_share = NEW_CONNECTION_SHARE
@@ -608,13 +608,13 @@
         established.sort_by(|a, b| {
             a.revenue_factor()
                 .total_cmp(&b.revenue_factor())
-                .then(b.load_in_use.get().total_cmp(&a.load_in_use.get()))
+                .then(b.smoothed_load.get().total_cmp(&a.smoothed_load.get()))
         });
         let mut excess = server.load.get() as f64 - server.limit.get();
         let (max_moves, mut moves) = (established.len().div_ceil(4), 0);
         let forced = server.message_delay.get().0 > FORCED_RELOCATION_DELAY * self.shortest_message_target;
         for (index, call) in established.iter().enumerate() {
-            let load = call.load_in_use.get() * call.share_in_use.get() * NANOCORES_PER_CORE;
+            let load = call.smoothed_load.get() * call.smoothed_busy_share.get() * NANOCORES_PER_CORE;
             // With few connections, each may be larger than the excess. The lightest is then relocated with the
             // probability excess / load, so that a server does not stay overloaded because each of many balancers holds
             // only little of its load.
@@ -733,7 +733,7 @@
         } else {
             balancer.host.send_leg(self.id, server.id, timeout);
         }
-        balancer.record_sent(now, &server, self.load_in_use.get());
+        balancer.record_sent(now, &server, self.smoothed_load.get());
         self.add_leg(now, server);
         Ok(())
     }
@@ -778,7 +778,7 @@
 
     /// Adds a leg at `server` to all counts.
     fn add_leg(self: &Rc<Self>, now: f64, server: Rc<Server>) {
-        let load = (self.load_in_use.get() * self.share_in_use.get() * NANOCORES_PER_CORE) as i64;
+        let load = (self.smoothed_load.get() * self.smoothed_busy_share.get() * NANOCORES_PER_CORE) as i64;
         self.balancer.add_load(&server, load);
         self.balancer.connections.set(self.balancer.connections.get() + 1);
         self.balancer.tenant_shares.add_connections(self.request.tenant, 1);
@@ -859,12 +859,13 @@
     /// Handles a report of the connection's present load, in cores. r_j and p_j are smoothed as in Eq. 2.
     pub fn on_load(&self, now: f64, leg: usize, load: f64) {
         let decay = (-(now - self.load_updated_at.replace(now)).max(0.0) / SMOOTHING_TIME).exp();
-        let in_use = if load > 0.0 { 1.0 } else { 0.0 };
-        self.load_in_use.set((1.0 - decay) * load + decay * self.load_in_use.get());
-        self.share_in_use.set((1.0 - decay) * in_use + decay * self.share_in_use.get());
+        let busy = if load > 0.0 { 1.0 } else { 0.0 };
+        self.smoothed_load.set((1.0 - decay) * load + decay * self.smoothed_load.get());
+        self.smoothed_busy_share.set((1.0 - decay) * busy + decay * self.smoothed_busy_share.get());
         let mut legs = self.legs.borrow_mut();
         if let Some(leg) = legs.get_mut(leg).filter(|l| l.active) {
-            let load = (self.load_in_use.get() * self.share_in_use.get() * NANOCORES_PER_CORE) as i64;
+            let load =
+                (self.smoothed_load.get() * self.smoothed_busy_share.get() * NANOCORES_PER_CORE) as i64;
             self.balancer.add_load(&leg.server, load - leg.load);
             leg.load = load;
         }
@@ -912,7 +913,8 @@
                 server.recent_breaks.set((since, count));
                 if count > (server.connections.get() + CONNECTIONS_PER_BREAK - 4) / CONNECTIONS_PER_BREAK {
                     // The server has not carried the load of a connection that it dropped.
-                    let dropped_load = self.load_in_use.get() * self.share_in_use.get() * NANOCORES_PER_CORE;
+                    let dropped_load =
+                        self.smoothed_load.get() * self.smoothed_busy_share.get() * NANOCORES_PER_CORE;
                     server
                         .peak_load
                         .set((server.peak_load.get() - dropped_load).max(server.load.get() as f64));
--- a/crates/dewhead/src/state.rs
+++ b/crates/dewhead/src/state.rs
@@ -240,10 +240,10 @@
     pub(crate) may_have_run: Cell<Option<(u32, u64, f64)>>,
     /// The leg that carries the established connection.
     pub(crate) established_leg: Cell<usize>,
-    /// r_j: the connection's load in cores, smoothed over all reports as in Eq. 2; it falls while there is no load.
-    pub(crate) load_in_use: Cell<f64>,
-    /// p_j: the share of time for which the connection is in use, smoothed likewise, 0 to 1.
-    pub(crate) share_in_use: Cell<f64>,
+    /// r_j: the connection's load in cores, smoothed over all reports as in Eq. 2. Reports of 0 lower it.
+    pub(crate) smoothed_load: Cell<f64>,
+    /// p_j: the share of the reports that are above 0, smoothed likewise, 0 to 1.
+    pub(crate) smoothed_busy_share: Cell<f64>,
     pub(crate) load_updated_at: Cell<f64>,
 }
 
