--- a/crates/dewhead-proxy/src/reducer.rs
+++ b/crates/dewhead-proxy/src/reducer.rs
@@ -533,7 +533,7 @@
                 if std::mem::take(&mut self.watch.retry_pending) {
                     self.open_watch(now);
                 } else {
-                    self.abort_watch(now, "no data received in time");
+                    self.abort_watch(now, "no complete line received in time");
                 }
             }
             TimerKind::FreeDescriptors => {
--- a/crates/dewhead-proxy/src/reducer/watch.rs
+++ b/crates/dewhead-proxy/src/reducer/watch.rs
@@ -53,7 +53,7 @@
     pub failed_attempts: u32,
     /// Whether discovery refused the last request, or its list was too long.
     pub overloaded: bool,
-    /// Whether the timer ends a pause before the next request; otherwise it limits the wait for data.
+    /// Whether the timer ends a pause before the next request; otherwise it limits the wait for a complete line.
     pub retry_pending: bool,
     /// The timer that `retry_pending` describes.
     pub timer: Option<Timer>,
