--- a/crates/dewhead-proxy/tests/guard.rs
+++ b/crates/dewhead-proxy/tests/guard.rs
@@ -11,9 +11,13 @@
 const ALLOWED_SEND: SendFacts = SendFacts { client_waiting: true, before_deadline: true, server_ready: true };
 
 /// The facts before a repeat at `target`, after an attempt that may have run.
-fn repeat_facts(effect: Idempotency, may_have_run: Option<SentAttempt>, target: SentAttempt) -> RepeatFacts {
+fn repeat_facts(
+    call_idempotency: Idempotency,
+    may_have_run: Option<SentAttempt>,
+    target: SentAttempt,
+) -> RepeatFacts {
     RepeatFacts {
-        idempotency: effect,
+        idempotency: call_idempotency,
         repeat_window: 2.0,
         open_attempts: 0,
         two_at_once: false,
@@ -45,7 +49,7 @@
         (SentAttempt { cell: 5, ..within_window }, SentAttempt { zone: 2, ..within_window });
     let referenced = |scope| Idempotency::Referenced(scope);
     let mut guard = Guard::default();
-    for (effect, may_have_run, target, allowed) in [
+    for (call_idempotency, may_have_run, target, allowed) in [
         (Idempotency::OnceOnly, None, within_window, true),
         (Idempotency::OnceOnly, Some(EARLIER_ATTEMPT), within_window, false),
         (Idempotency::Repeatable, Some(EARLIER_ATTEMPT), after_window, true),
@@ -57,25 +61,32 @@
         (referenced(RepeatScope::All), Some(EARLIER_ATTEMPT), other_zone, true),
         (referenced(RepeatScope::All), Some(EARLIER_ATTEMPT), after_window, false),
     ] {
-        let outcome = guard.may_repeat(&repeat_facts(effect, may_have_run, target), &"request");
+        let outcome = guard.may_repeat(&repeat_facts(call_idempotency, may_have_run, target), &"request");
         let expected = if allowed { Ok(()) } else { Err(Violation::UnsafeRepeat) };
-        assert_eq!(outcome, expected, "{effect:?} from {may_have_run:?} to {target:?}");
+        assert_eq!(outcome, expected, "{call_idempotency:?} from {may_have_run:?} to {target:?}");
     }
 }
 
 #[test]
 fn attempts_overlap_only_where_that_is_allowed() {
     let mut guard = Guard::default();
-    for (effect, two_at_once, allowed) in [
+    for (call_idempotency, two_at_once, allowed) in [
         (Idempotency::Repeatable, true, true),
         (Idempotency::Repeatable, false, false),
         (Idempotency::OnceOnly, true, false),
         (Idempotency::Referenced(RepeatScope::All), true, false),
     ] {
-        let facts =
-            RepeatFacts { open_attempts: 1, two_at_once, ..repeat_facts(effect, None, EARLIER_ATTEMPT) };
+        let facts = RepeatFacts {
+            open_attempts: 1,
+            two_at_once,
+            ..repeat_facts(call_idempotency, None, EARLIER_ATTEMPT)
+        };
         let expected = if allowed { Ok(()) } else { Err(Violation::OverlappingAttempts) };
-        assert_eq!(guard.may_repeat(&facts, &"request"), expected, "{effect:?}, two at once: {two_at_once}");
+        assert_eq!(
+            guard.may_repeat(&facts, &"request"),
+            expected,
+            "{call_idempotency:?}, two at once: {two_at_once}"
+        );
     }
 }
 
