--- a/crates/dewhead-world/src/service.rs
+++ b/crates/dewhead-world/src/service.rs
@@ -82,7 +82,7 @@
     demand: Vec<RateMeter>,
     served: Vec<RateMeter>,
     /// By traffic type: the setup times in microseconds.
-    pub setup_times: Vec<Histogram<u64>>,
+    pub setup_time_histograms: Vec<Histogram<u64>>,
     /// The counts so far.
     pub counts: Counts,
     /// By node: load, capacity and connections in each second.
@@ -128,7 +128,7 @@
             traffic_types,
             demand: (0..traffic_types).map(|_| RateMeter::default()).collect(),
             served: (0..traffic_types).map(|_| RateMeter::default()).collect(),
-            setup_times: (0..traffic_types).map(|_| histogram()).collect(),
+            setup_time_histograms: (0..traffic_types).map(|_| histogram()).collect(),
             counts: Counts::default(),
             nodes: vec![Vec::new(); nodes],
             proxies: vec![Vec::new(); proxies],
@@ -151,7 +151,7 @@
 
     /// Records a setup time, in seconds.
     pub fn record_setup(&mut self, traffic_type: usize, duration: f64, target: f64) {
-        self.setup_times[traffic_type].saturating_record((duration * 1e6).max(1.0) as u64);
+        self.setup_time_histograms[traffic_type].saturating_record((duration * 1e6).max(1.0) as u64);
         if duration > target {
             self.counts.late_setups += 1;
         }
@@ -181,7 +181,7 @@
         let by_type: Vec<f64> = (0..self.traffic_types).map(|k| service_share(k..k + 1, from, to)).collect();
         let window_starts = from..=to.saturating_sub(10).max(from);
         let mut combined = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid");
-        for times in &self.setup_times {
+        for times in &self.setup_time_histograms {
             combined.add(times).expect("all histograms have the same bounds");
         }
         let quantile_seconds = |quantile: f64| combined.value_at_quantile(quantile) as f64 / 1e6;
