--- a/crates/dewhead-lab/src/scale/fake_discovery.rs
+++ b/crates/dewhead-lab/src/scale/fake_discovery.rs
@@ -40,32 +40,42 @@
 #[derive(Clone, Default, Debug, Serialize)]
 pub struct DiscoveryCounts {
     /// Watch requests received.
+    #[serde(rename = "calls")]
     pub watch_requests: u64,
     /// Full lists sent in answer to them; the other answers hold the changes since a version.
+    #[serde(rename = "whole")]
     pub full_lists: u64,
     /// Lines sent.
     pub lines: [u64; 2],
     /// Bytes sent.
     pub bytes: [u64; 2],
     /// Empty lines sent as heartbeats.
+    #[serde(rename = "beats")]
     pub heartbeats: u64,
     /// Lines encoded as JSON; one line may be sent to many watchers.
+    #[serde(rename = "encoded")]
     pub lines_encoded: u64,
     /// Server entries in those lines.
+    #[serde(rename = "entries")]
     pub entries_encoded: u64,
     /// Watchers disconnected because of too much unsent data.
+    #[serde(rename = "dropped")]
     pub dropped_watchers: u64,
     /// Connected watchers.
+    #[serde(rename = "followers")]
     pub watchers: [u64; 2],
     /// Changes of the list.
     pub changes: u64,
     /// Processor time of the service's thread, in seconds.
     pub cpu: f64,
     /// Each list version with the Unix time at which it was published, from the first counted change.
+    #[serde(rename = "made")]
     pub publish_times: Vec<(u64, f64)>,
     /// Largest delay of a change beyond its scheduled time, in seconds.
+    #[serde(rename = "late")]
     pub max_delay: f64,
     /// Bytes queued for all watchers together and not sent yet.
+    #[serde(rename = "unread")]
     pub unread_bytes: usize,
 }
 
