--- a/crates/dewhead-world/src/service.rs
+++ b/crates/dewhead-world/src/service.rs
@@ -81,7 +81,7 @@
     traffic_types: usize,
     demand: Vec<RateMeter>,
     served: Vec<RateMeter>,
-    /// By traffic type: the setup times in microseconds.
+    /// By traffic type: a histogram of the setup times in microseconds.
     pub setup_time_histograms: Vec<Histogram<u64>>,
     /// The counts so far.
     pub counts: Counts,
@@ -181,8 +181,8 @@
         let by_type: Vec<f64> = (0..self.traffic_types).map(|k| service_share(k..k + 1, from, to)).collect();
         let window_starts = from..=to.saturating_sub(10).max(from);
         let mut combined = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid");
-        for times in &self.setup_time_histograms {
-            combined.add(times).expect("all histograms have the same bounds");
+        for histogram in &self.setup_time_histograms {
+            combined.add(histogram).expect("all histograms have the same bounds");
         }
         let quantile_seconds = |quantile: f64| combined.value_at_quantile(quantile) as f64 / 1e6;
         let sum_in_second =
